--- a/packages/corianderlb-router/src/corianderlb_router/forward_app.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_app.py
@@ -1,4 +1,4 @@
-"""The applications of a forwarding router: requests, readiness, metrics."""
+"""ASGI applications of a forwarding router: requests, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ForwardApp:
-    """Hand every request of the front address to the dispatcher.
+    """ASGI application that passes every request to the dispatcher.
 
-    It is bare ASGI: each path belongs to some route, and a stream costs less without
-    a response object between its events and the server.
+    It uses no web framework: routes come from the configuration, and streams avoid
+    the overhead of response objects.
     """
 
     def __init__(self, dispatcher: ForwardDispatcher) -> None:
@@ -44,10 +44,9 @@
 
 
 class StatusApp:
-    """Answer the balancer, and whoever reads metrics.
+    """ASGI application that serves readiness checks and metrics.
 
-    It is bare ASGI too: a router that restarts need not load the packages behind a
-    web framework first (0.18 of 0.62 s for all modules, by the import timer).
+    It uses no web framework, which keeps the start of a router short.
     """
 
     def __init__(
--- a/packages/corianderlb-router/src/corianderlb_router/forward_attempt.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_attempt.py
@@ -1,4 +1,4 @@
-"""Send one request to one instance, and relay its answer."""
+"""Send one request to one instance and relay its answer."""
 
 from __future__ import annotations
 
@@ -18,42 +18,41 @@
 from .forward_parts import ForwardParts
 from .forward_relay import Relay, WholeRelay, WrongAnswerError, read_whole
 from .forward_request import ForwardRequest, UpstreamHead
-from .forward_target import WITHDRAW_S, Placement, Target
+from .forward_target import WITHDRAW_MARGIN_S, Placement, Target
 from .run_mover import RunMover
 from .transport import EXCHANGE, FRESH, TARGET, Exchange
 
 HEDGE_SHARE: Final = 0.6
-"""Part of the objective after which a repeatable call without an answer is taken for
-lost and sent to another instance: the second run takes about half of one itself."""
+"""Share of the objective after which a repeatable call without an answer is sent to
+another instance, so that the second run still fits into the objective."""
 
-HEDGE_LATENCIES: Final = 4.0
-"""Least wait before that, in times that a call usually takes: one in a hundred calls
-takes five times as long."""
+HEDGE_LATENCY_FACTOR: Final = 4.0
+"""Least wait before that, as a multiple of the estimated latency."""
 
-SILENT_S: Final = 1.0
-"""Silence of an engine on all its streams after which it counts as unreachable. A
-busy one sends some event every few dozen milliseconds, a step of reading included."""
+UNRESPONSIVE_S: Final = 1.0
+"""Time without data on any stream of an engine after which it counts as unresponsive.
+A busy engine sends events far more often, also during prefill."""
 
-WRITE_S: Final = 5.0
-"""Longest wait for an upstream to take a request."""
+WRITE_TIMEOUT_S: Final = 5.0
+"""Timeout for sending a request to an upstream."""
 
 SERVER_ERROR: Final = 500
-"""Statuses from here on tell of a failure of the upstream."""
+"""Lowest status that reports a failure of the upstream."""
 
 
 class NotRunError(UpstreamError):
-    """Signal an instance that states that it did not run the request."""
+    """Raised when an instance states that it did not run the request."""
 
 
 class WithdrawnError(SilentError):
-    """Signal a request that had not begun when its weights were getting too old.
+    """Raised when a request is withdrawn because its weights are about to expire.
 
-    The engine may have begun it just then.
+    The engine may have begun it at the same moment.
     """
 
 
 class ServerFailureError(UpstreamError):
-    """Signal an error that the upstream itself answered with."""
+    """Raised when the upstream itself answers with an error."""
 
     def __init__(self, head: UpstreamHead, body: bytes) -> None:
         super().__init__(f"status {head.status}", sent=True)
@@ -63,7 +62,7 @@
 
 @dataclass(frozen=True)
 class ForwardJob:
-    """Hold one request with all that its attempts need."""
+    """One request, with everything that its attempts need."""
 
     parts: ForwardParts
     req: ForwardRequest
@@ -72,24 +71,24 @@
     relay: Relay
     caller: ForwardCaller
     deadline: float
-    """Router's clock at which the request ends."""
+    """Deadline of the request, by the router's clock."""
     body: bytes
     digest: bytes
-    """Of account, method, target and body: what comes again has the same one."""
+    """Digest of account, method, target and body, equal for repeats of a request."""
 
 
 class ForwardAttempt:
-    """Hold one attempt of a request at one instance."""
+    """One attempt of a request at one instance."""
 
     def __init__(
         self,
         job: ForwardJob,
         placement: Placement,
         is_last: bool,
-        may_go_on: Callable[[], bool],
+        charge_repeat: Callable[[], bool],
     ) -> None:
         self._job = job
-        self._may_go_on = may_go_on
+        self._charge_repeat = charge_repeat
         self._parts = job.parts
         self._req = job.req
         self._route = job.route
@@ -99,20 +98,20 @@
         self._placement = placement
         self._is_last = is_last
         self.may_have_run = False
-        """Whether the instance can have begun to run the request."""
+        """Whether the instance may have begun to run the request."""
         self.sent_at: float | None = None
-        """Router's clock when it was sent."""
+        """Time of sending, by the router's clock."""
         self._began_at: float | None = None
 
     @property
     def began_ms(self) -> int | None:
-        """Milliseconds from sending to the head of the answer, if one came."""
+        """Milliseconds from sending to the response head; None without one."""
         if self.sent_at is None or self._began_at is None:
             return None
         return round((self._began_at - self.sent_at) * 1000)
 
     async def run(self, on_data: Callable[[], None]) -> None:
-        """Relay the answer, or raise what kept it from being relayed."""
+        """Relay the answer, or raise an ``UpstreamError``."""
         response = await self._open()
         try:
             head = self._read_head(response)
@@ -123,7 +122,7 @@
                 await response.aclose()
 
     async def _open(self) -> httpx.Response:
-        """Send the request and return the answer's head."""
+        """Send the request and return the response once its head has arrived."""
         parts = self._parts
         left_s = self._deadline - trio.current_time()
         terms = self._target.terms(self._placement, left_s)
@@ -137,7 +136,7 @@
             extensions={
                 "timeout": {
                     "connect": parts.cfg.connect_timeout_s,
-                    "write": min(WRITE_S, max(0.01, left_s)),
+                    "write": min(WRITE_TIMEOUT_S, max(0.01, left_s)),
                     "read": math.inf,
                     "pool": None,
                 },
@@ -147,7 +146,7 @@
         )
         self.may_have_run = True
         try:
-            return await self._wait_head(request)
+            return await self._wait_for_head(request)
         except UpstreamError as exc:
             self.may_have_run = exc.sent
             raise
@@ -158,11 +157,11 @@
             return self._req
         return self._req.resumed(after)
 
-    async def _wait_head(self, request: httpx.Request) -> httpx.Response:
-        """Return the head of the answer; give up on an instance that is lost."""
+    async def _wait_for_head(self, request: httpx.Request) -> httpx.Response:
+        """Wait for the response head; stop at a timeout or if the engine is lost."""
         life = self._placement.instance.life
         self.sent_at = sent_at = trio.current_time()
-        limit_s = self._patience_s()
+        limit_s = self._head_timeout_s()
         result: list[httpx.Response] = []
         errors: list[UpstreamError] = []
 
@@ -178,10 +177,14 @@
             while trio.current_time() - sent_at < limit_s:
                 left_s = self._withdraws_at() - trio.current_time()
                 if left_s <= 0:
-                    errors.append(WithdrawnError("not begun in time", sent=True))
+                    errors.append(
+                        WithdrawnError(
+                            "withdrawn before its weights expired", sent=True
+                        )
+                    )
                     break
-                await trio.sleep(min(limit_s, SILENT_S, left_s))
-                if self._is_lost(life, sent_at):
+                await trio.sleep(min(limit_s, UNRESPONSIVE_S, left_s))
+                if self._is_unresponsive(life, sent_at):
                     break
             nursery.cancel_scope.cancel()
         if result:
@@ -189,57 +192,56 @@
             return result[0]
         if errors:
             raise errors[0]
-        raise SilentError("no answer in time", sent=True)
+        raise SilentError("no response head in time", sent=True)
 
     def _withdraws_at(self) -> float:
         """Return when to withdraw the request if the engine has not begun it.
 
-        That is looked up again each time: a newer version may have been named since
-        the request was sent.
+        It changes when a newer version is announced, so it is not cached.
         """
-        return self._target.begin_before(self._placement) - WITHDRAW_S
+        return self._target.begin_before(self._placement) - WITHDRAW_MARGIN_S
 
-    def _patience_s(self) -> float:
-        """Return how long to wait for the head of an answer."""
+    def _head_timeout_s(self) -> float:
+        """Return the timeout for the response head."""
         left_s = max(0.01, self._deadline - trio.current_time())
         may_repeat = self._route.is_repeatable and not self._is_last
         if not may_repeat:
             return left_s
         hedge_s = max(
             HEDGE_SHARE * self._route.objective_s,
-            HEDGE_LATENCIES * self._placement.estimate_s,
+            HEDGE_LATENCY_FACTOR * self._placement.estimate_s,
         )
         return min(left_s, hedge_s)
 
-    def _is_lost(self, life: Life, sent_at: float) -> bool:
-        """Return whether an engine fell silent with a request that may go elsewhere."""
+    def _is_unresponsive(self, life: Life, sent_at: float) -> bool:
+        """Return whether the engine is unresponsive and the request may be resumed."""
         if self._route.kind is not RepeatKind.STREAM or not self._route.may_resume:
             return False
         now = trio.current_time()
-        patience_s = max(SILENT_S, 2 * self._placement.estimate_s)
-        if now - sent_at < patience_s:
+        silence_limit_s = max(UNRESPONSIVE_S, 2 * self._placement.estimate_s)
+        if now - sent_at < silence_limit_s:
             return False
-        return not self._parts.health.heard_since(life, now - patience_s)
+        return not self._parts.health.heard_since(life, now - silence_limit_s)
 
     def _read_head(self, response: httpx.Response) -> UpstreamHead:
-        """Return the checked head of an answer."""
+        """Parse and validate the response head."""
         parts = self._parts
         head = parts.protocol.read_head(
             self._req, response.status_code, response.headers.raw
         )
         parts.health.heard(self._placement.instance.life)
         if not head.is_ours:
-            raise WrongAnswerError("it answers another request", sent=True)
+            raise WrongAnswerError("the answer belongs to another request", sent=True)
         other = head.instance not in ("", self._placement.instance.instance)
         if head.is_misdirected and other:
-            # Its address belongs to somebody else now; it has not run anything.
+            # Another instance now uses the address, so the request has not run.
             parts.state.mark_leaving(self._placement.instance, "address_reused")
-            raise NotRunError("another instance has the address", sent=False)
+            raise NotRunError("another instance uses the address", sent=False)
         self._target.head(self._placement, head)
         if head.not_run or head.is_misdirected:
             raise NotRunError(f"refused with status {head.status}", sent=False)
         if head.is_encoded or (head.status < 300 and not head.is_sealed):
-            raise WrongAnswerError("the answer is not the upstream's own", sent=True)
+            raise WrongAnswerError("the answer is encoded or lacks its seal", sent=True)
         return head
 
     @property
@@ -249,11 +251,11 @@
     async def _relay_answer(
         self, head: UpstreamHead, exchange: Exchange, on_data: Callable[[], None]
     ) -> None:
-        """Relay an answer, whose run may be moved meanwhile if it may be resumed."""
+        """Relay an answer; a run that may be resumed can move to another engine."""
         copier = self._parts.copier
         may_move = self._route.kind is RepeatKind.STREAM and self._route.may_resume
         if copier is None or not may_move or self._is_last or not self._is_engine:
-            await self._take(head, exchange, on_data)
+            await self._relay_or_fail(head, exchange, on_data)
             return
         mover = RunMover(
             copier,
@@ -262,19 +264,19 @@
             self._placement,
             self._relay,
             self._req.request_id,
-            self._may_go_on,
+            self._charge_repeat,
         )
-        await mover.relay(lambda: self._take(head, exchange, on_data))
+        await mover.relay(lambda: self._relay_or_fail(head, exchange, on_data))
 
-    async def _take(
+    async def _relay_or_fail(
         self, head: UpstreamHead, exchange: Exchange, on_data: Callable[[], None]
     ) -> None:
-        """Relay a good answer; read an upstream's failure whole first."""
+        """Relay an answer, or raise ``ServerFailureError`` for a server error."""
         if head.status < 300:
-            await self._relay.take(head, exchange, on_data)
+            await self._relay.relay_answer(head, exchange, on_data)
             return
         relay = WholeRelay(self._job.caller)
         if head.status < SERVER_ERROR:
-            await relay.take(head, exchange, on_data)
+            await relay.relay_answer(head, exchange, on_data)
             return
         raise ServerFailureError(head, await read_whole(exchange, on_data))
--- a/packages/corianderlb-router/src/corianderlb_router/forward_caller.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of a forwarded request: answers as they are, or cut visibly."""
+"""The caller's side of a forwarded request."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class StreamCutError(CallerGoneError):
-    """Signal an answer that began and cannot be finished.
+    """Raised when an answer that has begun cannot be completed.
 
-    The connection closes without the end of the body, so that the caller sees that
-    the answer is not whole; an end mark would pass half an answer off as the whole.
+    The connection closes without the final chunk, so that the caller does not take
+    the incomplete answer for a complete one.
     """
 
 
 class ForwardCaller(CallerExchange):
-    """Hold one forwarded request; its answer carries the upstream's headers alone."""
+    """Exchange with the caller of one forwarded request."""
 
     def __init__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         super().__init__(scope, receive, send)
@@ -40,7 +40,7 @@
         await super().start(status, headers)
 
     async def fail(self, refusal: Refusal) -> None:
-        """End with an error of the router's own, before any answer has begun."""
+        """Answer with a refusal; raise ``StreamCutError`` if an answer has begun."""
         self.result = refusal.code
         if self.started:
             raise StreamCutError(refusal.detail)
--- a/packages/corianderlb-router/src/corianderlb_router/forward_dispatcher.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_dispatcher.py
@@ -1,4 +1,4 @@
-"""Take one forwarded request through its steps, and always end it."""
+"""Dispatch of forwarded requests: matching, checks, the run, and the log line."""
 
 from __future__ import annotations
 
@@ -33,42 +33,42 @@
 from .wanted import run_while_wanted
 
 UNCONFIRMED_S: Final = WATCH_S + 1.5
-"""Age of the configuration from which an unknown route or key may be a newer one's: a
-watch, its answer and a second try."""
+"""Age from which the configuration is unconfirmed, so that an unknown route or key may
+exist in a newer one: one watch, its answer and a retry."""
 
 NOT_READY_RETRY_S: Final = 0.5
-"""When to come back to a router that has no newer configuration yet."""
+"""Retry-after time while the router has no confirmed configuration."""
 
 DRAINING_RETRY_S: Final = 0.05
-"""When to come back to a fleet of which this instance leaves: at once, to another."""
+"""Retry-after time of a draining router: short, since another router can take it."""
 
-CALLER_STALL_S: Final = 10.0
-"""How long a caller may leave an answer unread."""
+CALLER_STALL_TIMEOUT_S: Final = 10.0
+"""How long a write to a caller may block."""
 
-STREAM_STALL_S: Final = 1.2
-"""Longest pause between two events of one stream until its engine counts as silent.
-Engines that read long prompts pause by less than a tenth of it."""
+STREAM_STALL_TIMEOUT_S: Final = 1.2
+"""Longest pause between two events of a stream before its engine counts as
+unresponsive. Pauses due to the prefill of long prompts are far shorter."""
 
-DEADLINE_GRACE_S: Final = 0.02
-"""How much before its deadline a request ends here, for the way to the caller."""
+DEADLINE_MARGIN_S: Final = 0.02
+"""Margin before the deadline at which a request ends, for the way to the caller."""
 
 
 class ForwardDispatcher:
-    """Match, check, run and log each forwarded request."""
+    """Matches, checks, runs and logs each forwarded request."""
 
     def __init__(self, parts: ForwardParts, exchanges: ExchangeRegistry) -> None:
         self._parts = parts
         self._exchanges = exchanges
 
     async def handle(self, caller: ForwardCaller, scope: dict[str, Any]) -> None:
-        """Answer one request, whatever happens."""
-        caller.stall_s = CALLER_STALL_S
-        line = _RequestLine(caller)
+        """Handle one request; it is always answered, cut or logged as abandoned."""
+        caller.stall_s = CALLER_STALL_TIMEOUT_S
+        line = _RequestLog(caller)
         with self._exchanges.exchange(caller) as entry:
             try:
                 await self._answer(caller, scope, line)
             except StreamCutError as exc:
-                # Returning lets the server close the connection without an end mark.
+                # On return, the server closes the connection without the final chunk.
                 caller.result = ResultCode.STREAM_BROKEN
                 line.detail = str(exc)
             except (CallerGoneError, CallerStalledError):
@@ -78,7 +78,7 @@
         line.write(self._parts)
 
     async def _answer(
-        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLine
+        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLog
     ) -> None:
         try:
             await self._handle(caller, scope, line)
@@ -96,11 +96,11 @@
             await caller.fail(Refusal(ResultCode.INTERNAL, "The router failed."))
 
     async def _handle(
-        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLine
+        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLog
     ) -> None:
         cfg = self._parts.state.configuration
         if cfg is None or not self._parts.state.is_complete:
-            detail = "This instance has no configuration yet."
+            detail = "This router has no configuration yet."
             raise refuse(ResultCode.NOT_READY, detail, NOT_READY_RETRY_S)
         req = self._parts.protocol.read_request(scope)
         line.req, line.cfg = req, cfg
@@ -109,7 +109,7 @@
         route, account = self._admit(req, cfg)
         line.route, line.account = route, account
         if route.kind is RepeatKind.STREAM and not self._exchanges.takes_streams:
-            detail = "This instance leaves; a stream might not end in time."
+            detail = "This router is draining; a stream might not complete."
             raise refuse(ResultCode.DRAINING, detail, DRAINING_RETRY_S)
         body = await caller.read_body(cfg.limits.max_body_bytes)
         digest = body_digest(
@@ -124,31 +124,33 @@
         budget.record_request(trio.current_time(), self._parts.n_routers)
         target = self._target(req, route, account, upstream)
         left_s = min(route.timeout_s, req.deadline_s)
-        deadline = caller.arrived_at + left_s - DEADLINE_GRACE_S
+        deadline = caller.arrived_at + left_s - DEADLINE_MARGIN_S
         relay = self._relay(req, route, caller)
         job = ForwardJob(
             self._parts, req, route, target, relay, caller, deadline, body, digest
         )
         run = ForwardRun(job)
         line.run = run
-        await self._within(caller, run, deadline)
+        await self._run_until_deadline(caller, run, deadline)
 
-    async def _within(
+    async def _run_until_deadline(
         self, caller: ForwardCaller, run: ForwardRun, deadline: float
     ) -> None:
-        """Run until the deadline, and no longer than the caller waits."""
+        """Run until the deadline or until the caller disconnects."""
         if await run_while_wanted(caller, deadline, run.run, run.may_abandon):
-            self._overdue(caller, run)
+            self._fail_at_deadline(caller, run)
         if not caller.finished:
-            raise CallerGoneError("the caller left before its answer was whole")
+            raise CallerGoneError(
+                "the caller disconnected before its answer was complete"
+            )
 
     @staticmethod
-    def _overdue(caller: ForwardCaller, run: ForwardRun) -> None:
+    def _fail_at_deadline(caller: ForwardCaller, run: ForwardRun) -> None:
         if caller.started:
-            raise StreamCutError("its time was over")
+            raise StreamCutError("the deadline has passed")
         if run.may_have_run:
-            raise refuse(ResultCode.DEADLINE_EXCEEDED, "Its time is over.")
-        raise refuse(ResultCode.DEADLINE_UNREACHABLE, "Its time is over.", 0.05)
+            raise refuse(ResultCode.DEADLINE_EXCEEDED, "The deadline has passed.")
+        raise refuse(ResultCode.DEADLINE_UNREACHABLE, "The deadline has passed.", 0.05)
 
     def _admit(
         self, req: ForwardRequest, cfg: ForwardConfiguration
@@ -156,22 +158,24 @@
         """Return the route and the account of a request, or refuse it."""
         route = cfg.match(req.host, req.path)
         if route is None:
-            raise self._unknown(ResultCode.NOT_FOUND, "No route matches.")
+            raise self._unknown_refusal(ResultCode.NOT_FOUND, "No route matches.")
         if route.is_public or not cfg.uses_accounts:
             return route, None
         account = cfg.account_of(req.api_key) if req.api_key else None
         if account is None:
-            raise self._unknown(ResultCode.BAD_CREDENTIALS, "No account has this key.")
+            raise self._unknown_refusal(
+                ResultCode.BAD_CREDENTIALS, "No account has this key."
+            )
         return route, account
 
-    def _unknown(self, code: ResultCode, detail: str) -> RequestRefusedError:
-        """Return the refusal of what the configuration does not have.
+    def _unknown_refusal(self, code: ResultCode, detail: str) -> RequestRefusedError:
+        """Return the refusal for a route or key that the configuration lacks.
 
-        While neither store nor peers confirm it, a newer one may have it.
+        A newer configuration may have it while the known one is unconfirmed.
         """
         if self._parts.state.is_confirmed(UNCONFIRMED_S):
             return refuse(code, detail)
-        detail = "The configuration could not be confirmed of late."
+        detail = "The configuration has not been confirmed recently."
         return refuse(ResultCode.STALE_CONFIGURATION, detail, NOT_READY_RETRY_S)
 
     def _target(
@@ -194,13 +198,13 @@
         req: ForwardRequest, route: ForwardRoute, caller: ForwardCaller
     ) -> Relay:
         if route.kind is RepeatKind.STREAM:
-            stall_s = STREAM_STALL_S if route.may_resume else math.inf
+            stall_s = STREAM_STALL_TIMEOUT_S if route.may_resume else math.inf
             return EventRelay(caller, req.resume_after, stall_s)
         return WholeRelay(caller)
 
 
-class _RequestLine:
-    """Collect what the log says of one request, in one line at its end."""
+class _RequestLog:
+    """Collects the fields of a request's log line, written when the request ends."""
 
     def __init__(self, caller: ForwardCaller) -> None:
         self._caller = caller
@@ -212,7 +216,7 @@
         self.detail = ""
 
     def write(self, parts: ForwardParts) -> None:
-        """Write the line and count the request."""
+        """Write the log line and count the request in the metrics."""
         caller, cfg = self._caller, self.cfg
         now = trio.current_time()
         first_s = caller.first_byte_at - caller.arrived_at if caller.started else None
@@ -237,11 +241,11 @@
             configuration=cfg.version if cfg else 0,
             configuration_age_ms=round((now - parts.state.configuration_since) * 1000),
             confirmed=parts.state.is_confirmed(UNCONFIRMED_S),
-            attempts=list(self.run.notes) if self.run else [],
+            attempts=list(self.run.attempt_records) if self.run else [],
             detail=self.detail,
         )
 
 
 def _ms(seconds: float) -> int | None:
-    """Return milliseconds for the log; None for no bound."""
+    """Convert seconds to milliseconds for the log; None if infinite."""
     return round(seconds * 1000) if math.isfinite(seconds) else None
--- a/packages/corianderlb-router/src/corianderlb_router/forward_metric.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_metric.py
@@ -12,11 +12,11 @@
 from prometheus_client import CollectorRegistry, generate_latest
 
 BUCKETS_S: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0)
-"""Borders for latencies: dense where objectives of 0.1 to 1.2 s lie."""
+"""Histogram bucket bounds, dense in the range of latency objectives (0.1 to 1.2 s)."""
 
 
 class ForwardMetrics:
-    """Count requests and attempts; no label has a value from a caller's free text."""
+    """Counts requests and attempts; labels never contain text from callers."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -38,7 +38,7 @@
     def request_ended(
         self, code: str, kind: str, whole_s: float, first_s: float | None
     ) -> None:
-        """Count a request, and how long its first byte and its end took."""
+        """Count a request and record its time to first byte and its duration."""
         self._requests.add(1, {"result": code, "kind": kind})
         self._whole.record(whole_s, {"kind": kind})
         if first_s is not None:
@@ -50,12 +50,12 @@
         self._attempts.add(1, labels)
 
     def prompt_sent(self, n_missing: int, n_prompt: int) -> None:
-        """Count prompt tokens by whether the engine is expected to read them."""
+        """Count prompt tokens by whether the engine is expected to prefill them."""
         self._tokens.add(n_missing, {"source": "read"})
         self._tokens.add(max(0, n_prompt - n_missing), {"source": "cached"})
 
     def watch(self, name: str, read: Callable[[], float]) -> None:
-        """Have a value read at each scrape."""
+        """Register a gauge that is read at each scrape."""
 
         def observe(options: CallbackOptions) -> Iterable[Observation]:
             return [Observation(read())]
@@ -63,5 +63,5 @@
         self._meter.create_observable_gauge(f"corianderlb_{name}", [observe])
 
     def exposition(self) -> bytes:
-        """Return all values in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/packages/corianderlb-router/src/corianderlb_router/forward_node.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_node.py
@@ -1,4 +1,4 @@
-"""Compose a forwarding router, and take it through its life."""
+"""Assembly of a forwarding router, its startup and its shutdown."""
 
 from __future__ import annotations
 
@@ -47,37 +47,37 @@
 from .weights_keeper import WeightsKeeper
 
 LEASE_NAME: Final = "weights"
-"""The lease under which all orders to engines are given."""
+"""Lease whose holder sends the orders to engines."""
 
-QUARANTINE_HOLD_S: Final = 60.0
-"""How long a request that crashed upstreams twice is refused: many times as long as an
-upstream takes to come back."""
+QUARANTINE_S: Final = 60.0
+"""How long a request that crashed upstreams twice is refused: far longer than an
+upstream takes to restart."""
 
 KEEP_ALIVE_FACTOR: Final = 2.0
-"""How much longer than the configuration's idle timeout a caller's connection is kept:
-a caller that reuses one just in time must not meet its close."""
+"""Keep-alive timeout as a multiple of the configured idle timeout, so that a caller
+that reuses a connection in time does not find it closed."""
 
-LISTEN_LEFT_S: Final = 3.2
-"""How long a leaving router still takes new connections: the balancer asks once a
-second and needs two misses."""
+DRAIN_LISTEN_S: Final = 3.2
+"""How long a draining router accepts new connections: until the load balancer has seen
+two failed readiness checks, one second apart."""
 
-STREAMS_LEFT_S: Final = 2.6
-"""How long a leaving router still takes streams. The balancer has let go of it by then,
-but for the way of its last question; a stream of five seconds still ends in time."""
+DRAIN_STREAMS_S: Final = 2.6
+"""How long a draining router accepts new streams: long enough for the load balancer to
+stop sending them, short enough for a stream of five seconds to complete."""
 
-LAST_CALL_S: Final = 0.4
-"""Time before the end of the grace at which whatever is left is cut and said."""
+CUT_MARGIN_S: Final = 0.4
+"""Margin before the end of the grace period; open requests are then cut and logged."""
 
-RELEASE_S: Final = 0.2
-"""Longest wait for giving the lease back; it also lapses by itself."""
+RELEASE_TIMEOUT_S: Final = 0.2
+"""Timeout for releasing the lease, which otherwise expires."""
 
-NEVER_S: Final = 10.0**9
-"""A server time limit that never strikes: the node itself waits for the exchanges."""
+NO_TIMEOUT_S: Final = 10.0**9
+"""Server timeout that never expires: the node itself waits for open exchanges."""
 
 
 @dataclass(frozen=True)
 class ListenAddresses:
-    """Hold the addresses, as host:port, that a router listens on."""
+    """Addresses, as host:port, that a router listens on."""
 
     front: str
     status: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class ForwardNodeSettings:
-    """Hold the settings of one forwarding router."""
+    """Settings of one forwarding router."""
 
     forward: ForwardSettings
     region: str
@@ -97,14 +97,14 @@
     peer_key: bytes
     orders: OrderSettings
     grace_s: float = 8.0
-    """Time from the request to end until the process is killed."""
+    """Time from the termination signal until the process is killed."""
     engines_check_tokens: bool = True
     """Whether engines refuse orders with an older fencing token."""
 
 
 @dataclass(frozen=True)
 class ForwardPorts:
-    """Hold what the platform gives: its store, its protocol, its engines."""
+    """Interfaces that the platform implements: its store, its protocol, its engines."""
 
     feed: ObjectFeed
     store: ObjectStore
@@ -114,11 +114,11 @@
     roster: RouterRoster
     copier: MemoryCopier | None = None
     reload: Callable[[], None] = field(default=lambda: None)
-    """Reads the settings anew."""
+    """Reloads the settings."""
 
 
 class ForwardNode:
-    """Hold the parts of one router and run them."""
+    """Owns the components of one router and runs them."""
 
     def __init__(
         self, cfg: ForwardNodeSettings, ports: ForwardPorts, log: LogWriter
@@ -134,17 +134,17 @@
         self._front = self._server(cfg.listen.front)
         self._peers = self._make_peers()
         health = HealthBoard(self._rng)
-        self._board = EngineBoard(ports.state, health, self._peers, self._rng)
+        self._engines = EngineBoard(ports.state, health, self._peers, self._rng)
         self._follower = StateFollower(ports.feed, ports.state, self._peers, self._rng)
-        self._keeper = self._make_keeper()
+        self._controller = self._make_controller()
         self._parts = ForwardParts(
             cfg=cfg.forward,
             state=ports.state,
             protocol=ports.protocol,
             transport=UpstreamTransport(TcpConnector()),
-            engines=self._board,
+            engines=self._engines,
             health=health,
-            quarantine=FleetQuarantine(self._peers, QUARANTINE_HOLD_S),
+            quarantine=FleetQuarantine(self._peers, QUARANTINE_S),
             in_flight=InFlightTable(),
             peers=self._peers,
             metrics=ForwardMetrics(),
@@ -156,22 +156,22 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send new connections."""
+        """Whether the load balancer may send new connections."""
         return self._cycle.state == "serving"
 
     async def run(self) -> None:
-        """Serve until told to end; return once nothing is left to finish."""
+        """Serve until a termination signal; return once the router has drained."""
         eliot.log_message(message_type="router:start", listen=self._cfg.listen.front)
         self._parts = dataclasses.replace(self._parts, started_at=trio.current_time())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._log.run)
-            nursery.start_soon(self._take_signals)
+            nursery.start_soon(self._handle_signals)
             await nursery.start(self._peers.run)
             self._peers.set_addresses(self._cfg.listen.front, self._cfg.listen.peer)
             for task in self._tasks():
                 nursery.start_soon(task)
             await self._serve_all(nursery)
-            await self._live()
+            await self._drain_on_terminate()
             nursery.cancel_scope.cancel()
         eliot.log_message(message_type="router:stop")
         self._log.flush()
@@ -179,10 +179,10 @@
     def _tasks(self) -> list[Callable[[], Awaitable[None]]]:
         return [
             self._follower.run,
-            self._board.run,
-            self._keeper.run,
-            self._keep_roster,
-            self._keep_limits,
+            self._engines.run,
+            self._controller.run,
+            self._keep_registered,
+            self._apply_limits,
             self._become_ready,
         ]
 
@@ -204,8 +204,8 @@
     def _server(address: str) -> hypercorn.config.Config:
         config = hypercorn.config.Config()
         config.bind = [address]
-        config.graceful_timeout = NEVER_S
-        config.shutdown_timeout = NEVER_S
+        config.graceful_timeout = NO_TIMEOUT_S
+        config.shutdown_timeout = NO_TIMEOUT_S
         config.include_server_header = False
         config.include_date_header = False
         config.loglevel = "WARNING"
@@ -227,8 +227,8 @@
             await changed.wait()
         self._send("catalogue_ready")
 
-    async def _keep_limits(self) -> None:
-        """Follow the configuration's limits, which change while the router runs."""
+    async def _apply_limits(self) -> None:
+        """Apply the configured limits whenever the configuration changes."""
         while True:
             changed = self._ports.state.changed
             cfg = self._ports.state.configuration
@@ -237,8 +237,8 @@
                 self._front.keep_alive_timeout = keep_s
             await changed.wait()
 
-    async def _keep_roster(self) -> None:
-        """Enter this router in the platform's list, and follow the others in it."""
+    async def _keep_registered(self) -> None:
+        """Keep this router registered with the platform and follow the others."""
         listen = self._cfg.listen
         record = InstanceRecord(
             instance=InstanceId(self._cfg.forward.node),
@@ -249,14 +249,14 @@
             peer_address=listen.peer,
         )
 
-        def take(listed: InstanceList) -> None:
+        def on_listing(listed: InstanceList) -> None:
             self._peers.take_list(listed)
 
-        await self._ports.roster.keep(record, take)
+        await self._ports.roster.keep(record, on_listing)
 
-    async def _take_signals(self) -> None:
-        wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        with trio.open_signal_receiver(*wanted) as signals:
+    async def _handle_signals(self) -> None:
+        handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        with trio.open_signal_receiver(*handled) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
                     eliot.log_message(message_type="router:reload")
@@ -269,27 +269,27 @@
         self._peers.announce_leaving()
         self._terminate.set()
 
-    async def _live(self) -> None:
-        """Return when everything taken on is finished, or the grace is over."""
+    async def _drain_on_terminate(self) -> None:
+        """Wait for termination, then drain until done or out of grace time."""
         await self._terminate.wait()
         started_at = trio.current_time()
         self._exchanges.closing = True
-        with trio.move_on_at(started_at + self._cfg.grace_s - LAST_CALL_S) as scope:
-            await trio.sleep(STREAMS_LEFT_S)
+        with trio.move_on_at(started_at + self._cfg.grace_s - CUT_MARGIN_S) as scope:
+            await trio.sleep(DRAIN_STREAMS_S)
             self._exchanges.takes_streams = False
-            await trio.sleep(LISTEN_LEFT_S - STREAMS_LEFT_S)
+            await trio.sleep(DRAIN_LISTEN_S - DRAIN_STREAMS_S)
             self._stop_listening.set()
             await self._exchanges.wait_empty()
         if scope.cancelled_caught:
             cut = self._exchanges.cut()
             eliot.log_message(message_type="router:cut", requests=list(cut))
             await trio.sleep(0.1)
-        # Orders go on until here: a fleet whose routers restart in turn would else
-        # stand without a holder most of the time, and engines keep old weights.
-        with trio.move_on_after(RELEASE_S):
-            await self._keeper.release()
+        # Keep the lease while draining: otherwise a rolling restart would leave the
+        # fleet without a lease holder most of the time, and engines on old weights.
+        with trio.move_on_after(RELEASE_TIMEOUT_S):
+            await self._controller.release()
 
-    # Making the parts.
+    # Construction.
 
     def _make_peers(self) -> OverlayNetwork:
         cfg = self._cfg
@@ -308,16 +308,16 @@
         transport = WebSocketTransport(host, int(port))
         return OverlayNetwork(own, cfg.peer_key, transport, cfg.peers, self._rng)
 
-    def _make_keeper(self) -> WeightsKeeper:
+    def _make_controller(self) -> WeightsKeeper:
         cfg = self._cfg
         node = cfg.forward.node
-        # Epoch 0: a process that starts again on the same machine goes on under the
-        # lease it had, with a greater fencing token, instead of waiting it out.
+        # Epoch 0: a restarted process takes over its own lease with a greater fencing
+        # token, instead of waiting until it expires.
         lease = LeaseHolder(
             self._ports.store, LEASE_NAME, InstanceId(node), 0, cfg.orders
         )
         state = self._ports.state
-        duty = LeaseDuty(
+        coordinator = LeaseDuty(
             lease,
             node,
             self._peers,
@@ -326,15 +326,17 @@
             lambda: self._parts.n_routers,
             must_settle=not cfg.engines_check_tokens,
         )
-        return WeightsKeeper(duty, node, state, self._board, self._ports.orders)
+        return WeightsKeeper(
+            coordinator, node, state, self._engines, self._ports.orders
+        )
 
     def _watch_gauges(self) -> None:
         metrics, state = self._parts.metrics, self._ports.state
         metrics.watch("in_flight", lambda: len(self._exchanges))
         metrics.watch("routers", lambda: self._parts.n_routers)
-        metrics.watch("holds_orders", lambda: float(self._keeper.is_holder))
+        metrics.watch("holds_orders", lambda: float(self._controller.is_holder))
         metrics.watch("store_lost", lambda: float(state.is_store_lost))
-        metrics.watch("known_parts", lambda: len(self._board.index))
+        metrics.watch("known_parts", lambda: len(self._engines.index))
         metrics.watch("log_lines_left_out", lambda: self._log.n_left_out)
         metrics.watch(
             "configuration_version",
--- a/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router that a forwarded request works with."""
+"""Components of a router that forwarded requests share."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 @dataclass(frozen=True)
 class ForwardSettings:
-    """Hold what forwarding needs from the settings of a router."""
+    """Settings of a router that concern forwarding."""
 
     node: str
     zone: str
     zone_penalty_s: float = 0.002
-    """What a call to another availability zone costs more."""
+    """Extra latency that a call to another availability zone is assumed to have."""
     budget: BudgetTerms = field(default_factory=BudgetTerms)
     weights_limit_s: float = math.inf
-    """Longest time after which users take answers of weights that were replaced."""
+    """Longest time for which replaced weights may still be used for answers."""
     connect_timeout_s: float = 0.25
-    """Longest wait for a connection to an upstream: a hundred times the way between
-    availability zones, a quarter of what an urgent call may take."""
+    """Timeout for connecting to an upstream: well above the latency between
+    availability zones, well below the objective of an urgent call."""
 
 
 @dataclass(frozen=True)
 class ForwardParts:
-    """Hold the parts that all forwarded requests of a router share."""
+    """Components that all forwarded requests of a router share."""
 
     cfg: ForwardSettings
     state: ServingState
@@ -58,24 +58,24 @@
     metrics: ForwardMetrics
     rng: random.Random
     started_at: float = -math.inf
-    """Router's clock when this process started."""
+    """Start of this process, by the router's clock."""
     n_routers_at_start: int = 1
-    """Routers that there may be, before any was heard of."""
+    """Assumed number of routers until the peers are known."""
     copier: MemoryCopier | None = None
-    """Copies runs between engines; None where engines cannot."""
+    """Copies runs between engines; None if the engines do not support it."""
     services: dict[Life, ServiceLoad] = field(default_factory=dict)
     budgets: dict[str, ArrivalBudget] = field(default_factory=dict)
-    returns: dict[str, ReturnSchedule] = field(default_factory=dict)
-    """By upstream: when those come back that it had no room for."""
+    return_schedules: dict[str, ReturnSchedule] = field(default_factory=dict)
+    """Schedules of the retries of refused callers, by upstream."""
 
     @property
     def n_routers(self) -> int:
-        """Routers thought to be live."""
+        """Number of routers known to be live, at least one."""
         members = self.peers.members()
         return max(1, sum(state.presence is Presence.LIVE for state in members))
 
     def budget(self, upstream: str) -> ArrivalBudget:
-        """Return the budget of repeats of an upstream."""
+        """Return the retry budget of an upstream."""
         found = self.budgets.get(upstream)
         if found is None:
             found = ArrivalBudget(
@@ -87,13 +87,13 @@
     def back_in(
         self, upstream: str, wait_s: float, read_s: float, most_s: float
     ) -> float:
-        """Return after how many seconds a caller should come back to an upstream."""
-        schedule = self.returns.setdefault(upstream, ReturnSchedule())
+        """Return the time in seconds after which a caller should retry an upstream."""
+        schedule = self.return_schedules.setdefault(upstream, ReturnSchedule())
         now = trio.current_time()
         return schedule.back_in(wait_s, read_s, most_s, self.n_routers, now)
 
     def service(self, life: Life, slots: int) -> ServiceLoad:
-        """Return the load of a life of a service instance."""
+        """Return the load of one incarnation of a service instance."""
         found = self.services.get(life)
         if found is None:
             found = self.services[life] = ServiceLoad(slots)
--- a/packages/corianderlb-router/src/corianderlb_router/forward_relay.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_relay.py
@@ -1,4 +1,4 @@
-"""Pass an upstream's answer on to the caller: whole, or event by event."""
+"""Relays of an upstream's answer to the caller: whole, or event by event."""
 
 from __future__ import annotations
 
@@ -16,60 +16,60 @@
 from .transport import Exchange
 
 MAX_ANSWER_BYTES: Final = 16 << 20
-"""Longest whole answer that is held until it is complete."""
+"""Longest answer that is buffered until it is complete."""
 
 
 class WrongAnswerError(BrokenError):
-    """Signal an answer that cannot be the upstream's own for this request."""
+    """Raised when an answer cannot be the upstream's own answer to this request."""
 
 
 class TakenOffError(UpstreamError):
-    """Signal a relay that was told to stop, between two events."""
+    """Raised when a relay was interrupted between two events."""
 
 
 class Relay(ABC):
-    """Take the body of one attempt's answer after the other to the caller."""
+    """Relays the answers of successive attempts to the caller."""
 
     def __init__(self, caller: ForwardCaller) -> None:
         self.caller = caller
 
     @abstractmethod
-    async def take(
+    async def relay_answer(
         self, head: UpstreamHead, exchange: Exchange, on_data: Callable[[], None]
     ) -> None:
-        """Relay an answer to its end; call ``on_data`` whenever bytes come.
+        """Relay an answer to its end; call ``on_data`` for each received chunk.
 
-        Raise an ``UpstreamError`` when the answer does not arrive whole.
+        Raise an ``UpstreamError`` if the answer does not arrive complete.
         """
 
     longest_pause_s: float = 0.0
-    """Between two pieces of an answer that the caller got."""
+    """Longest pause between two writes to the caller."""
 
-    def take_off(self) -> None:
-        """Have ``take`` raise ``TakenOffError`` as soon as no event is half passed on.
+    def interrupt(self) -> None:
+        """Make ``relay_answer`` raise ``TakenOffError`` at the next event boundary.
 
-        What is relayed whole cannot be taken off.
+        Relays that buffer the whole answer ignore it.
         """
 
     @property
     def resume_after(self) -> int | None:
-        """Number of the last event that the caller has, to go on from."""
+        """Number of the last event sent to the caller, from which to resume."""
         return None
 
 
 class WholeRelay(Relay):
-    """Hold an answer until it is complete, then send it as one."""
+    """Buffers an answer until it is complete, then sends it in one piece."""
 
-    async def take(
+    async def relay_answer(
         self, head: UpstreamHead, exchange: Exchange, on_data: Callable[[], None]
     ) -> None:
-        """Relay an answer that came complete."""
+        """Relay an answer once it is complete."""
         body = await read_whole(exchange, on_data)
         await self.caller.answer(head.status, list(head.headers), body)
 
 
 async def read_whole(exchange: Exchange, on_data: Callable[[], None]) -> bytes:
-    """Return a whole body; raise ``BrokenError`` for one that is not."""
+    """Read a body to its end; raise ``BrokenError`` if it is incomplete or too long."""
     chunks: list[bytes] = []
     n_bytes = 0
     while chunk := await exchange.receive_chunk():
@@ -83,33 +83,33 @@
 
 
 class EventRelay(Relay):
-    """Send whole events as they come; go on after the last one with a new attempt."""
+    """Sends events as they arrive; a new attempt resumes after the last one."""
 
     def __init__(
         self, caller: ForwardCaller, resume_after: int | None, stall_s: float
     ) -> None:
         super().__init__(caller)
-        self._last = resume_after
+        self._last_number = resume_after
         self._stall_s = stall_s
         self.n_events = 0
-        """Events that the caller got in this answer."""
+        """Events sent to the caller in this answer."""
         self.longest_pause_s = 0.0
-        """Between two pieces that the caller got."""
-        self._wrote_at: float | None = None
-        self._is_off = False
-        self._waiting = trio.CancelScope()
-        """Around the wait for the next bytes."""
+        """Longest pause between two writes to the caller."""
+        self._last_write_at: float | None = None
+        self._is_interrupted = False
+        self._wait_scope = trio.CancelScope()
+        """Cancel scope of the wait for the next chunk."""
 
     @property
     def resume_after(self) -> int | None:
-        """Number of the last event that the caller has."""
-        return self._last
+        """Number of the last event sent to the caller."""
+        return self._last_number
 
-    async def take(
+    async def relay_answer(
         self, head: UpstreamHead, exchange: Exchange, on_data: Callable[[], None]
     ) -> None:
-        """Relay the events that the caller does not have yet."""
-        self._is_off = False
+        """Relay the events that the caller has not received yet."""
+        self._is_interrupted = False
         splitter = EventSplitter()
         while True:
             chunk = await self._receive(exchange)
@@ -125,19 +125,19 @@
             await self.caller.start(head.status, list(head.headers))
         await self.caller.finish()
 
-    def take_off(self) -> None:
-        """Have ``take`` stop while it waits for the next bytes."""
-        self._is_off = True
-        self._waiting.cancel()
+    def interrupt(self) -> None:
+        """Interrupt ``relay_answer`` while it waits for the next chunk."""
+        self._is_interrupted = True
+        self._wait_scope.cancel()
 
     async def _receive(self, exchange: Exchange) -> bytes:
-        # Only the wait ends early: an event that was counted as passed on and whose
-        # bytes were then held back would be missing from the caller's answer.
-        with trio.CancelScope() as self._waiting:
-            if self._is_off:
-                self._waiting.cancel()
+        # Only the wait is cancelled: cancelling a write could lose an event that is
+        # already counted as sent.
+        with trio.CancelScope() as self._wait_scope:
+            if self._is_interrupted:
+                self._wait_scope.cancel()
             return await self._receive_chunk(exchange)
-        raise TakenOffError("taken off for a load of weights", sent=True)
+        raise TakenOffError("interrupted for a weights load", sent=True)
 
     async def _receive_chunk(self, exchange: Exchange) -> bytes:
         if not self.n_events:
@@ -155,13 +155,16 @@
         ready = []
         for event in events:
             if event.number is not None:
-                if self._last is not None and event.number <= self._last:
-                    # The caller has it from an earlier attempt; twice would spoil it.
+                if self._last_number is not None and event.number <= self._last_number:
+                    # The caller received it from an earlier attempt.
                     continue
-                if self._last is not None and event.number != self._last + 1:
-                    message = f"event {event.number} came after {self._last}"
+                if (
+                    self._last_number is not None
+                    and event.number != self._last_number + 1
+                ):
+                    message = f"event {event.number} came after {self._last_number}"
                     raise WrongAnswerError(message, sent=True)
-                self._last = event.number
+                self._last_number = event.number
             self.n_events += 1
             ready.append(event.data)
         return ready
@@ -169,12 +172,12 @@
     async def _write(self, head: UpstreamHead, data: bytes) -> None:
         caller = self.caller
         now = trio.current_time()
-        if self._wrote_at is not None:
-            self.longest_pause_s = max(self.longest_pause_s, now - self._wrote_at)
-        self._wrote_at = now
+        if self._last_write_at is not None:
+            self.longest_pause_s = max(self.longest_pause_s, now - self._last_write_at)
+        self._last_write_at = now
         with trio.move_on_after(caller.stall_s) as scope:
             if not caller.started:
                 await caller.start(head.status, list(head.headers))
             await caller.write(data)
         if scope.cancelled_caught:
-            raise CallerGoneError("the caller left its stream unread")
+            raise CallerGoneError("the caller stopped reading its stream")
--- a/packages/corianderlb-router/src/corianderlb_router/forward_request.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_request.py
@@ -1,4 +1,4 @@
-"""What a forwarded request is, and the seam to the protocol that it came by."""
+"""Forwarded requests, and the interface to the wire protocol."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True)
 class ForwardRequest:
-    """Hold a caller's request as it is to be passed on."""
+    """Caller's request, as it is forwarded."""
 
     request_id: str
     method: str
     host: str
-    """Without its port."""
+    """Host name without the port."""
     path: str
     target: bytes
-    """Path and query, byte for byte."""
+    """Path and query, unchanged."""
     headers: tuple[tuple[bytes, bytes], ...]
     """The headers that pass through unchanged."""
     api_key: str
     """Empty when none was sent."""
     deadline_s: float
-    """Seconds that the caller waits from the arrival on; infinite when not told."""
+    """Seconds that the caller waits, from arrival; infinite if not specified."""
     prompt: Prompt | None = None
     resume_after: int | None = None
-    """Number of the last event that the caller has of this stream."""
+    """Number of the last event of this stream that the caller has received."""
 
     def resumed(self, after: int | None) -> ForwardRequest:
         """Return the request for the rest of its stream."""
@@ -40,28 +40,28 @@
 
 @dataclass(frozen=True)
 class SendTerms:
-    """Hold what the router itself says with one attempt."""
+    """Values that the router adds to the request for one attempt."""
 
     instance: str
-    """Only this instance may run it."""
+    """The only instance that may run the request."""
     deadline_s: float
-    """Seconds that are left for the answer."""
+    """Seconds left until the deadline."""
     account: str = ""
     cache_scope: str = ""
-    """Text that cached parts are shared under; empty without a prompt."""
+    """Scope within which cached parts are shared; empty without a prompt."""
     weights_version: int = 0
-    """Version that the engine must have; 0 when it does not matter."""
+    """Weights version that the engine must have; 0 for any."""
     fetch_from: str = ""
     save_to: str = ""
     priority: int | None = None
     resume_after: int | None = None
     continue_from: str = ""
-    """Copy of a run's memory to go on from, as address/name; empty for none."""
+    """Copy of the run's KV cache to continue from, as address/name; empty for none."""
 
 
 @dataclass(frozen=True)
 class InstanceLoadWord:
-    """Hold an instance's own word on its load."""
+    """Load that an instance reports of itself."""
 
     n_running: int
     n_waiting: int
@@ -70,34 +70,34 @@
 
 @dataclass(frozen=True)
 class UpstreamHead:
-    """Hold the head of an upstream's answer."""
+    """Head of an upstream's answer."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     """The headers that pass through to the caller."""
     is_ours: bool
-    """Whether it names the request that was sent."""
+    """Whether it answers the request that was sent."""
     not_run: bool
     """Whether it states that the request has not run and will not."""
     is_misdirected: bool
     """Whether another instance, or one with other weights, answered."""
     is_sealed: bool
-    """Whether it carries the upstream's proof that the answer is its own."""
+    """Whether it carries the upstream's seal, the proof that the upstream sent it."""
     is_leaving: bool
-    """Whether it hints that the instance leaves."""
+    """Whether it indicates that the instance is leaving."""
     is_encoded: bool
-    """Whether the body went through an encoding that nobody asked for."""
+    """Whether the body has a content encoding that the router did not request."""
     instance: str = ""
     load: InstanceLoadWord | None = None
     weights_version: int = 0
 
 
 class ForwardProtocol(ABC):
-    """Translate requests and answers between a wire protocol and the product."""
+    """Translates requests and answers between a wire protocol and the router."""
 
     @abstractmethod
     def read_request(self, scope: dict[str, Any]) -> ForwardRequest:
-        """Return the request in an ASGI scope; raise ``RequestRefusedError``."""
+        """Parse an ASGI scope; raise ``RequestRefusedError`` for an invalid request."""
 
     @abstractmethod
     def upstream_headers(self, req: ForwardRequest, terms: SendTerms) -> Headers:
@@ -107,4 +107,4 @@
     def read_head(
         self, req: ForwardRequest, status: int, headers: Headers
     ) -> UpstreamHead:
-        """Return the head of an answer to a request."""
+        """Parse the head of the answer to a request."""
--- a/packages/corianderlb-router/src/corianderlb_router/forward_run.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_run.py
@@ -1,4 +1,4 @@
-"""Run one forwarded request to its end, over as many attempts as it may take."""
+"""Run one forwarded request to completion, with retries on other instances."""
 
 from __future__ import annotations
 
@@ -29,62 +29,62 @@
 )
 from .forward_caller import StreamCutError
 from .forward_relay import WrongAnswerError
-from .forward_target import NO_INSTANCE_S, NoPlace, Placement
+from .forward_target import NO_INSTANCE_RETRY_S, NoPlacement, Placement
 from .in_flight import InFlightAttempt
 from .run_mover import RunMovedError
 
-HOLD_SHARE: Final = 0.12
-"""Part of its objective for which a request waits here for an instance with room. A
-refusal after it still leaves the caller time to come back; a longer wait would not."""
+MAX_WAIT_SHARE: Final = 0.12
+"""Share of its objective for which a request waits for an instance with capacity. A
+longer wait would leave a refused caller no time to retry."""
 
-RETRY_SHARE: Final = 0.5
-"""Part of the objective that another attempt gets at least."""
+MIN_RETRY_SHARE: Final = 0.5
+"""Least share of the objective that a retry gets."""
 
 POLL_S: Final = 0.025
-"""How often a waiting request looks again, besides at each change of the state."""
+"""Interval at which a waiting request retries placement, besides on state changes."""
 
-RETRY_AFTER_MIN_S: Final = 0.2
-"""Least time that a refused caller is told to stay away: two words of the peers."""
+MIN_RETRY_AFTER_S: Final = 0.2
+"""Lower bound for the retry-after time of a refusal: two peer updates."""
 
-RETRY_AFTER_SHARE: Final = 1 / 3
-"""Largest part of the time that a caller has left which it is told to stay away."""
+MAX_RETRY_AFTER_SHARE: Final = 1 / 3
+"""Upper bound for the retry-after time, as a share of the time until the deadline."""
 
 MAX_NOT_RUN: Final = 8
-"""Refusals by instances that one request collects at most; each costs a way there."""
+"""Maximum number of "not run" refusals by instances before a request is refused."""
 
 MAX_UNREACHED: Final = 6
-"""Instances that one request finds unreachable until it is refused. Each refused
-connection takes no time at all, and a request would else knock until its deadline."""
+"""Maximum number of failed connections before a request is refused. Without it, a
+request would reconnect in a tight loop until its deadline."""
 
-LIFE_CHECK_S: Final = 0.3
-"""How long it may take to find out whether an instance still lives."""
+LIVENESS_CHECK_TIMEOUT_S: Final = 0.3
+"""Timeout of the connection that checks whether an instance still listens."""
 
 
 @dataclass(frozen=True)
-class AttemptNote:
-    """Hold one attempt for the log line of its request."""
+class AttemptRecord:
+    """Outcome of one attempt, for the log line of its request."""
 
     instance: str
     outcome: str
     took_ms: int
     estimate_ms: int
-    """Expected time to the first byte, when it was sent."""
+    """Time to the first byte that was estimated at the time of sending."""
     detail: str = ""
     wait_ms: int = 0
-    """Expected wait in the engine's queue."""
+    """Estimated wait in the engine's queue."""
     n_missing: int = 0
-    """Tokens that the engine was expected to read."""
+    """Estimated number of tokens to prefill."""
     weights: int = 0
-    """Version of the weights that it was asked to have."""
+    """Weights version that the attempt required."""
     weights_age_ms: int | None = None
-    """How long ago, as known when it was sent, a newer version was named."""
+    """Time from the announcement of a newer version until the attempt was sent."""
     began_ms: int | None = None
-    """Time until the head of its answer; None when none came."""
+    """Time until the response head; None without one."""
     fetch_from: str = ""
 
 
 class ForwardRun:
-    """Hold the state of one request over its attempts."""
+    """Run of one request, with its state across attempts."""
 
     def __init__(self, job: ForwardJob) -> None:
         self._job = job
@@ -96,136 +96,139 @@
         self._deadline = job.deadline
         self._digest = job.digest
         self._avoid: set[Life] = set()
-        self._n_arrivals = 0
+        self._n_sent = 0
         self._n_runs = 0
         self._n_not_run = 0
         self._n_unreached = 0
         self._last_failure: ServerFailureError | None = None
-        self._ran_before = False
-        """Whether an attempt that is over can have begun to run the request."""
-        self._attempt_now: ForwardAttempt | None = None
-        self._next_place: Placement | None = None
-        """Where the memory of a run lies that was taken off its engine."""
-        self.notes: list[AttemptNote] = []
-        """One for each attempt, for the log."""
+        self._earlier_may_have_run = False
+        """Whether a completed attempt may have run the request."""
+        self._current_attempt: ForwardAttempt | None = None
+        self._next_placement: Placement | None = None
+        """Placement of a moved run that continues from a copy of its KV cache."""
+        self.attempt_records: list[AttemptRecord] = []
+        """One record per attempt, for the log."""
 
     @property
     def longest_pause_ms(self) -> int:
-        """Longest pause between two pieces that the caller got."""
+        """Longest pause between two writes to the caller."""
         return round(self._relay.longest_pause_s * 1000)
 
     @property
     def _may_run_again(self) -> bool:
-        """Whether the kind of request allows a run after one that may have begun."""
+        """Whether the request may run again after an attempt that may have run it."""
         if self._route.kind is RepeatKind.STREAM:
             return self._route.may_resume
         return self._route.is_repeatable
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any upstream can have begun to run the request."""
-        now = self._attempt_now
-        return self._ran_before or (now is not None and now.may_have_run)
+        """Whether any upstream may have begun to run the request."""
+        attempt = self._current_attempt
+        return self._earlier_may_have_run or (
+            attempt is not None and attempt.may_have_run
+        )
 
     def may_abandon(self) -> bool:
-        """Return whether nothing is lost when the caller leaves now.
+        """Return whether the request may be cancelled when the caller disconnects.
 
-        What may run once only has perhaps begun: cut off, nobody could tell whether
-        it took effect, so it is left to end by itself.
+        An at-most-once request that may have begun is left to complete: if it were
+        cancelled, its outcome would be unknown.
         """
         return self._route.kind is not RepeatKind.AT_MOST_ONCE or not self.may_have_run
 
     async def run(self) -> None:
-        """Answer the caller; raise ``RequestRefusedError`` if that is not possible."""
+        """Answer the caller, or raise ``RequestRefusedError``."""
         try:
             await self._run()
         except RequestRefusedError:
             failure = self._last_failure
             if failure is None or self._caller.started:
                 raise
-            # An earlier attempt brought the upstream's own failure; that tells the
-            # caller more than that no further instance was found.
-            await self._pass_on(failure)
+            # The upstream's own error response is more informative than the refusal.
+            await self._relay_failure(failure)
 
     async def _run(self) -> None:
         while True:
-            placement, self._next_place = self._next_place, None
+            placement, self._next_placement = self._next_placement, None
             if placement is None:
-                placement = await self._place()
+                placement = await self._choose_placement()
             try:
                 await self._attempt(placement)
                 return
             except UpstreamError as exc:
                 failed = exc
-            if await self._after(placement, failed):
+            if await self._handle_failure(placement, failed):
                 return
 
-    # Placing.
+    # Placement.
 
-    async def _place(self) -> Placement:
-        """Return a place, waiting a little for one; refuse when there is none."""
-        waits_until = trio.current_time() + HOLD_SHARE * self._route.objective_s
+    async def _choose_placement(self) -> Placement:
+        """Return a placement, waiting briefly for one; refuse if there is none."""
+        waits_until = trio.current_time() + MAX_WAIT_SHARE * self._route.objective_s
         while True:
             now = trio.current_time()
             found = self._target.choose(self._avoid, self._objective_left_s(now))
             if isinstance(found, Placement):
                 return found
             if found.reason != "queue" and self._avoid:
-                # Every instance failed once: one that did is better than none.
+                # Every instance has failed once; try all of them again.
                 self._avoid.clear()
                 await trio.sleep(POLL_S)
                 continue
             if now >= waits_until:
-                raise self._no_place(found)
+                raise self._no_placement_refusal(found)
             changed = self._parts.state.changed
             with trio.move_on_after(POLL_S):
                 await changed.wait()
 
     def _objective_left_s(self, now: float) -> float:
-        """Return the time within which the next first byte should come.
+        """Return the time within which the next first byte is due.
 
-        A stream that its caller has the beginning of goes on whatever the queues are:
-        given up, all that was made of it is lost. After another failed attempt an
-        answer that is a little late is still worth more to its caller than none.
+        A stream that has already started has no bound, since giving up would waste
+        what was generated. A retry gets a minimum, since a slightly late answer is
+        better than a refusal.
         """
         objective_s = self._route.objective_s
         if self._caller.started:
             return math.inf
         left_s = self._caller.arrived_at + objective_s - now
-        return max(left_s, RETRY_SHARE * objective_s if self.notes else 0.0)
+        return max(
+            left_s, MIN_RETRY_SHARE * objective_s if self.attempt_records else 0.0
+        )
 
-    def _no_place(self, found: NoPlace) -> RequestRefusedError:
+    def _no_placement_refusal(self, found: NoPlacement) -> RequestRefusedError:
         if self.may_have_run:
-            return refuse(ResultCode.UPSTREAM_FAILED, "No other instance has room.")
+            return refuse(ResultCode.UPSTREAM_FAILED, "No other instance has capacity.")
         code = (
             ResultCode.QUEUE_FULL if found.reason == "queue" else ResultCode.NO_UPSTREAM
         )
         detail = f"{found.reason}: {found.detail}" if found.detail else found.reason
         left_s = self._deadline - trio.current_time()
-        wanted_s = self._parts.back_in(
+        estimate_s = self._parts.back_in(
             self._target.upstream,
-            found.back_in_s,
+            found.retry_after_s,
             found.read_s,
-            left_s * RETRY_AFTER_SHARE,
+            left_s * MAX_RETRY_AFTER_SHARE,
         )
-        return refuse(code, detail, self._back_in(wanted_s))
+        return refuse(code, detail, self._retry_after_s(estimate_s))
 
-    def _back_in(self, wanted_s: float) -> float:
-        """Return when the caller should come back, within the time it has left."""
+    def _retry_after_s(self, estimate_s: float) -> float:
+        """Clamp an estimate of the retry-after time to the time until the deadline."""
         left_s = self._deadline - trio.current_time()
-        wanted_s = max(RETRY_AFTER_MIN_S, wanted_s)
-        return max(0.01, min(wanted_s, left_s * RETRY_AFTER_SHARE))
+        estimate_s = max(MIN_RETRY_AFTER_S, estimate_s)
+        return max(0.01, min(estimate_s, left_s * MAX_RETRY_AFTER_SHARE))
 
     # One attempt.
 
     async def _attempt(self, placement: Placement) -> None:
-        """Send the request once and relay its answer."""
+        """Send the request to one instance and relay its answer."""
         parts = self._parts
         instance = placement.instance
         if not parts.state.may_take_work(instance):
-            raise NotRunError("it has just left", sent=False)
-        self._n_arrivals += 1
-        key = f"{self._job.req.request_id}.{self._n_arrivals}"
+            raise NotRunError("the instance is leaving", sent=False)
+        self._n_sent += 1
+        key = f"{self._job.req.request_id}.{self._n_sent}"
         started_at = trio.current_time()
         first_at: list[float] = []
 
@@ -237,11 +240,11 @@
                 self._target.first_byte(key, placement, seconds)
 
         attempt = ForwardAttempt(
-            self._job, placement, not self._has_attempt_left(1), self._take_budget
+            self._job, placement, not self._has_attempt_left(1), self._charge_budget
         )
-        self._attempt_now = attempt
+        self._current_attempt = attempt
         has_ended = False
-        with self._in_flight(key, placement, first_at):
+        with self._track_in_flight(key, placement, first_at):
             try:
                 await attempt.run(on_data)
                 has_ended = True
@@ -250,23 +253,23 @@
                 raise
             finally:
                 if not has_ended:
-                    # The caller left or its time is over, which reaches here by itself
-                    # or in a group; the log shows who had the request last.
-                    self._note(placement, "abandoned", started_at)
+                    # Cancelled, because the caller left or the deadline passed, or
+                    # failed otherwise: log which instance had the request.
+                    self._record_attempt(placement, "abandoned", started_at)
         parts.health.succeeded(instance.life)
         parts.quarantine.clear(self._digest)
-        self._note(placement, "ok", started_at)
+        self._record_attempt(placement, "ok", started_at)
 
     @contextmanager
-    def _in_flight(
+    def _track_in_flight(
         self, key: str, placement: Placement, first_at: list[float]
     ) -> Iterator[None]:
-        """Count an attempt while it lasts."""
+        """Track an attempt as in flight while the context is active."""
         parts = self._parts
         instance = placement.instance
         incarnation = Incarnation(InstanceId(instance.instance), instance.born_ms)
-        flight = InFlightAttempt(AttemptId(key), incarnation, self._digest)
-        parts.in_flight.begin(flight)
+        tracked = InFlightAttempt(AttemptId(key), incarnation, self._digest)
+        parts.in_flight.begin(tracked)
         parts.health.started(instance.life)
         self._target.sent(key, placement)
         try:
@@ -276,14 +279,14 @@
             parts.health.ended(instance.life)
             self._target.ended(key, placement, was_read=bool(first_at))
 
-    # After a failure.
+    # Failure handling.
 
-    def _after_move(self, placement: Placement, exc: RunMovedError) -> None:
-        """Go on with a run that was taken off its engine."""
-        self._ran_before = True
-        self._next_place = exc.placement
-        self._note(placement, "moved" if exc.placement else "restarted", None)
-        self._attempt_now = None
+    def _handle_move(self, placement: Placement, exc: RunMovedError) -> None:
+        """Continue a run that was interrupted to free its engine."""
+        self._earlier_may_have_run = True
+        self._next_placement = exc.placement
+        self._record_attempt(placement, "moved" if exc.placement else "restarted", None)
+        self._current_attempt = None
         if exc.placement is None:
             self._avoid.add(placement.instance.life)
             self._n_runs += 1
@@ -291,80 +294,82 @@
     def _has_attempt_left(self, n_more: int = 0) -> bool:
         return self._n_runs + n_more < self._route.max_attempts
 
-    async def _after(self, placement: Placement, exc: UpstreamError) -> bool:
-        """Decide what follows a failed attempt; return whether the caller is answered.
+    async def _handle_failure(self, placement: Placement, exc: UpstreamError) -> bool:
+        """Handle a failed attempt; return whether the caller has been answered.
 
-        False asks for another attempt.
+        False requests another attempt.
         """
         if isinstance(exc, RunMovedError):
-            self._after_move(placement, exc)
+            self._handle_move(placement, exc)
             return False
         self._avoid.add(placement.instance.life)
-        self._judge(placement, exc)
+        self._report_health(placement, exc)
         has_not_run = isinstance(exc, NotRunError)
-        self._ran_before = self._n_runs > 0 if has_not_run else self.may_have_run
-        self._attempt_now = None
+        self._earlier_may_have_run = (
+            self._n_runs > 0 if has_not_run else self.may_have_run
+        )
+        self._current_attempt = None
         if placement.continue_from:
-            # The copy of the memory was of no use: what follows is another run.
+            # The copy could not be used, so the next attempt is another run.
             self._n_runs += 1
         if isinstance(exc, NotRunError):
             self._n_not_run += 1
-            self._pay_or_refuse(exc)
+            self._charge_or_refuse(exc)
             return False
         if isinstance(exc, ConnectFailedError):
             self._n_unreached += 1
             if self._n_unreached > MAX_UNREACHED:
-                self._refuse_not_taken(ResultCode.NO_UPSTREAM, exc)
+                self._refuse_not_run(ResultCode.NO_UPSTREAM, exc)
             return False
         self._n_runs += 1
         if isinstance(exc, ServerFailureError):
             self._last_failure = exc
         if isinstance(exc, BrokenError) and not isinstance(exc, WrongAnswerError):
-            await self._look_for_crash(placement)
+            await self._check_for_crash(placement)
         refusal = self._parts.quarantine.refusal(self._digest)
         may_repeat = self._may_run_again and self._has_attempt_left()
         if self._caller.started and self._relay.resume_after is None:
             may_repeat = False
-        if refusal is None and may_repeat and self._take_budget():
+        if refusal is None and may_repeat and self._charge_budget():
             return False
-        return await self._give_up(exc)
+        return await self._fail_request(exc)
 
-    def _pay_or_refuse(self, exc: UpstreamError) -> None:
-        """Pay for going to another instance after one that did not run it."""
-        if self._n_not_run > MAX_NOT_RUN or not self._take_budget():
-            self._refuse_not_taken(ResultCode.UPSTREAM_REFUSED, exc)
+    def _charge_or_refuse(self, exc: UpstreamError) -> None:
+        """Charge the retry budget for a retry after a "not run" refusal, or refuse."""
+        if self._n_not_run > MAX_NOT_RUN or not self._charge_budget():
+            self._refuse_not_run(ResultCode.UPSTREAM_REFUSED, exc)
 
-    def _refuse_not_taken(self, code: ResultCode, exc: UpstreamError) -> None:
-        """End a request that no instance took; ``code`` says that it has not run."""
+    def _refuse_not_run(self, code: ResultCode, exc: UpstreamError) -> None:
+        """Refuse a request that no instance accepted; as failed if it may have run."""
         if self._caller.started:
-            raise StreamCutError(f"no instance took the rest of the stream: {exc}")
+            raise StreamCutError(f"no instance accepted the rest of the stream: {exc}")
         if self.may_have_run:
             raise refuse(ResultCode.UPSTREAM_FAILED, str(exc))
-        raise refuse(code, str(exc), self._back_in(NO_INSTANCE_S))
+        raise refuse(code, str(exc), self._retry_after_s(NO_INSTANCE_RETRY_S))
 
-    def _take_budget(self) -> bool:
+    def _charge_budget(self) -> bool:
         budget = self._parts.budget(self._target.upstream)
         return budget.take(trio.current_time(), self._parts.n_routers)
 
-    async def _give_up(self, exc: UpstreamError) -> bool:
-        """End a request that may have run."""
+    async def _fail_request(self, exc: UpstreamError) -> bool:
+        """End a failed request that may have run."""
         if self._caller.started:
             raise StreamCutError(str(exc))
         if isinstance(exc, ServerFailureError):
-            await self._pass_on(exc)
+            await self._relay_failure(exc)
             return True
         is_silent = isinstance(exc, SilentError)
         code = ResultCode.UPSTREAM_TIMEOUT if is_silent else ResultCode.UPSTREAM_FAILED
         raise RequestRefusedError(Refusal(code, str(exc)))
 
-    async def _pass_on(self, failure: ServerFailureError) -> None:
-        """Give the caller the upstream's own failure."""
+    async def _relay_failure(self, failure: ServerFailureError) -> None:
+        """Relay the upstream's own error response to the caller."""
         self._caller.result = ResultCode.UPSTREAM_FAILED
         head = failure.head
         await self._caller.answer(head.status, list(head.headers), failure.body)
 
-    def _judge(self, placement: Placement, exc: UpstreamError) -> None:
-        """Tell the health board what an attempt showed."""
+    def _report_health(self, placement: Placement, exc: UpstreamError) -> None:
+        """Report the outcome of a failed attempt to the health table."""
         health = self._parts.health
         life = placement.instance.life
         outcome = type(exc).__name__.removesuffix("Error").lower()
@@ -378,17 +383,20 @@
             self._target.unreached(placement)
         else:
             health.failed(life)
-        self._note(placement, outcome, None, str(exc))
+        self._record_attempt(placement, outcome, None, str(exc))
 
-    async def _look_for_crash(self, placement: Placement) -> None:
-        """Count a crash against the requests that were in flight on an instance."""
+    async def _check_for_crash(self, placement: Placement) -> None:
+        """Report a crash if the instance no longer listens.
+
+        All requests in flight on it become suspects.
+        """
         parts = self._parts
         instance = placement.instance
         name = InstanceId(instance.instance)
         suspects = (*parts.in_flight.suspects(name), self._digest)
         try:
             conn = await parts.transport.pool.take(
-                instance.address, fresh=True, connect_s=LIFE_CHECK_S
+                instance.address, fresh=True, connect_s=LIVENESS_CHECK_TIMEOUT_S
             )
         except ConnectFailedError as exc:
             if exc.refused:
@@ -396,7 +404,7 @@
             return
         await conn.close()
 
-    def _note(
+    def _record_attempt(
         self,
         placement: Placement,
         outcome: str,
@@ -404,7 +412,7 @@
         detail: str = "",
     ) -> None:
         took_s = trio.current_time() - (started_at or self._caller.arrived_at)
-        note = AttemptNote(
+        record = AttemptRecord(
             placement.instance.instance,
             outcome,
             round(took_s * 1000),
@@ -413,20 +421,20 @@
         )
         choice = placement.choice
         if choice is not None:
-            note = dataclasses.replace(
-                note,
+            record = dataclasses.replace(
+                record,
                 wait_ms=round(choice.wait_s * 1000),
                 n_missing=choice.n_missing,
                 weights=choice.view.weights_version,
                 fetch_from=choice.fetch_from,
             )
-        attempt = self._attempt_now
+        attempt = self._current_attempt
         if attempt is not None and attempt.sent_at is not None:
             age_s = attempt.sent_at - (choice.view.replaced_at if choice else math.inf)
-            note = dataclasses.replace(
-                note,
+            record = dataclasses.replace(
+                record,
                 weights_age_ms=round(age_s * 1000) if math.isfinite(age_s) else None,
                 began_ms=attempt.began_ms,
             )
-        self.notes.append(note)
-        self._parts.metrics.attempt_ended(outcome, len(self.notes) > 1)
+        self.attempt_records.append(record)
+        self._parts.metrics.attempt_ended(outcome, len(self.attempt_records) > 1)
--- a/packages/corianderlb-router/src/corianderlb_router/forward_target.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_target.py
@@ -1,4 +1,4 @@
-"""Where a forwarded request may go: engines for prompts, instances for plain calls."""
+"""Choice of the instance for a request: engines for prompts, services for calls."""
 
 from __future__ import annotations
 
@@ -31,45 +31,45 @@
 from .forward_parts import ForwardParts
 from .forward_request import ForwardRequest, SendTerms, UpstreamHead
 
-WITHDRAW_S: Final = 0.5
-"""Time before the age from which nothing may begin on replaced weights at which a
-request is withdrawn: a busy router notices late, and the close has a way to go."""
+WITHDRAW_MARGIN_S: Final = 0.5
+"""Margin before the age limit of replaced weights at which a request is withdrawn. It
+covers scheduling delays and the time that the close takes to arrive."""
 
 
 @dataclass(frozen=True)
 class Placement:
-    """Hold the instance chosen for one attempt."""
+    """Instance chosen for one attempt, with the estimate that led to it."""
 
     instance: ForwardInstance
     estimate_s: float
-    """Expected time to the first byte of its answer."""
+    """Estimated time to the first byte of its answer."""
     choice: EngineChoice | None = None
-    """How an engine was chosen; None for a plain service."""
+    """Choice of the engine; None for a plain service."""
     save_to: str = ""
-    """Where the engine is to save the prompt's parts; empty for nowhere."""
+    """KV cache address where the engine saves the prompt's parts; empty for none."""
     continue_from: str = ""
-    """Copy of the run's memory to go on from, as address/name; empty for none."""
+    """Copy of the run's KV cache to continue from, as address/name; empty for none."""
 
     def continued(self, address: str, handle: str) -> Placement:
-        """Return the place for a run that goes on from a copy of its memory."""
+        """Return the placement of a run that continues from a copy of its KV cache."""
         return replace(self, continue_from=f"{address}/{handle}", save_to="")
 
 
 @dataclass(frozen=True)
-class NoPlace:
-    """Tell that no instance can take the request now."""
+class NoPlacement:
+    """Reason why no instance can take the request now."""
 
     reason: str
-    back_in_s: float
-    """Estimated time until one can."""
+    retry_after_s: float
+    """Estimated time until an instance can take it."""
     detail: str = ""
-    """The estimate that decided it, for the log."""
+    """The deciding estimate, for the log."""
     read_s: float = 0.0
-    """How long all instances together take for the request."""
+    """Prefill time of the request, divided by the number of engines."""
 
 
 class Target(ABC):
-    """Choose instances for one request and learn from its attempts."""
+    """Chooses instances for one request and is updated by its attempts."""
 
     def __init__(
         self,
@@ -85,57 +85,57 @@
 
     @abstractmethod
     def choose(self, avoid: Collection[Life], objective_left_s: float):
-        """Return a ``Placement``, or ``NoPlace``."""
+        """Return a ``Placement``, or ``NoPlacement`` with the reason."""
 
     def refuge(self, placement: Placement) -> Placement | None:
-        """Return where a run may move to that has to leave its instance."""
+        """Return a placement to move a run to, or None."""
         return None
 
     def may_take(self, placement: Placement) -> bool:
-        """Return whether an instance may still get new work."""
+        """Return whether an instance still accepts new work."""
         return self.parts.state.may_take_work(placement.instance)
 
     def begin_before(self, placement: Placement) -> float:
-        """Return until when an instance may begin the request, by the router's clock.
+        """Return the router time before which an instance must begin the request.
 
-        An estimate bounds it where the request is sent, but only the instance decides
-        when it begins.
+        The estimate at sending does not guarantee it, since the instance decides when
+        the request begins.
         """
         return math.inf
 
     def terms(self, placement: Placement, left_s: float) -> SendTerms:
-        """Return what is said to the instance with one attempt."""
+        """Return what the router adds to the request for one attempt."""
         account = self.account.name if self.account else ""
         return SendTerms(placement.instance.instance, left_s, account)
 
     def sent(self, key: str, placement: Placement) -> None:
-        """Take note of an attempt that is being sent."""
+        """Record that an attempt is sent."""
 
     def first_byte(self, key: str, placement: Placement, seconds: float) -> None:
-        """Take note of the first byte of an answer's body."""
+        """Record the first byte of an answer's body."""
 
     def head(self, placement: Placement, head: UpstreamHead) -> None:
-        """Take note of the head of an answer."""
+        """Record the head of an answer."""
 
     def unreached(self, placement: Placement) -> None:
-        """Take note that the instance took no connection in time."""
+        """Record that a connection to the instance failed."""
 
     def ended(self, key: str, placement: Placement, was_read: bool) -> None:
-        """Take note that an attempt is over."""
+        """Record that an attempt has ended."""
 
 
 def pick_upstream(route: ForwardRoute, rng: random.Random) -> str:
-    """Return an upstream of a route by the weights of its shares."""
+    """Return a random upstream of a route, weighted by its shares."""
     weights = [share.weight for share in route.shares]
     return rng.choices(route.shares, weights)[0].upstream
 
 
 class ServiceTarget(Target):
-    """Choose among the instances of a plain service."""
+    """Chooses among the instances of a plain service."""
 
-    FAILURE_S: Final = 0.5
-    """What a certain failure weighs against waiting, in parts of the objective: half,
-    since a repeat takes about that long."""
+    FAILURE_WEIGHT: Final = 0.5
+    """Waiting time that a certain failure equals, as a share of the objective: about
+    the time that a retry takes."""
 
     def __init__(self, *args, upstream: str) -> None:
         super().__init__(*args)
@@ -143,8 +143,8 @@
 
     def choose(
         self, avoid: Collection[Life], objective_left_s: float
-    ) -> Placement | NoPlace:
-        """Return the instance expected to answer first."""
+    ) -> Placement | NoPlacement:
+        """Return the instance with the lowest estimated time to answer."""
         parts = self.parts
         now = trio.current_time()
         known = [
@@ -153,7 +153,7 @@
             if instance.life not in avoid
         ]
         if not known:
-            return NoPlace("no_instance", NO_INSTANCE_S)
+            return NoPlacement("no_instance", NO_INSTANCE_RETRY_S)
         known = best_effort(known, lambda item: parts.health.may_send(item.life))
         loads = [(item, parts.service(item.life, item.slots)) for item in known]
         chosen = choose_service(
@@ -164,7 +164,7 @@
             parts.rng,
             lambda item: (
                 parts.health.failure_rate(item.life)
-                * self.FAILURE_S
+                * self.FAILURE_WEIGHT
                 * self.route.objective_s
             ),
         )
@@ -173,21 +173,21 @@
         return Placement(chosen, load.wait_s(now))
 
     def sent(self, key: str, placement: Placement) -> None:
-        """Count the call."""
+        """Count the call as in flight."""
         self._load(placement).started()
 
     def first_byte(self, key: str, placement: Placement, seconds: float) -> None:
-        """Learn the instance's speed."""
+        """Update the latency estimate of the instance."""
         self._load(placement).answered(seconds)
 
     def head(self, placement: Placement, head: UpstreamHead) -> None:
-        """Learn the instance's load."""
+        """Update the load that the instance reports."""
         if head.load is not None:
             n_busy = head.load.n_running + head.load.n_waiting
             self._load(placement).told(n_busy, trio.current_time())
 
     def ended(self, key: str, placement: Placement, was_read: bool) -> None:
-        """Take the count back."""
+        """Remove the call from the calls in flight."""
         self._load(placement).ended()
 
     def _load(self, placement: Placement):
@@ -196,7 +196,7 @@
 
 
 class EngineTarget(Target):
-    """Choose among engines, by cached parts and estimated time to the first token."""
+    """Chooses among engines by cached parts and estimated time to the first token."""
 
     def __init__(self, *args, upstream: str, prompt: Prompt) -> None:
         super().__init__(*args)
@@ -206,14 +206,14 @@
 
     def choose(
         self, avoid: Collection[Life], objective_left_s: float
-    ) -> Placement | NoPlace:
-        """Return the engine that reads the prompt soonest, if that is in time."""
+    ) -> Placement | NoPlacement:
+        """Return the engine with the earliest first token, if within the objective."""
         query = self._query(objective_left_s)
         if query is None:
-            return NoPlace("no_configuration", NO_INSTANCE_S)
+            return NoPlacement("no_configuration", NO_INSTANCE_RETRY_S)
         choice = self.parts.engines.choose(query, self.upstream, tuple(avoid))
         if choice is None:
-            return NoPlace("no_engine", NO_INSTANCE_S)
+            return NoPlacement("no_engine", NO_INSTANCE_RETRY_S)
         if not choice.in_time:
             detail = (
                 f"{choice.view.instance.instance} would start in "
@@ -222,14 +222,14 @@
             pace = choice.view.pace
             n_engines = len(self.parts.state.instances(self.upstream))
             read_s = pace.read_s(choice.n_missing) / max(1, n_engines)
-            return NoPlace("queue", choice.wait_s, detail, read_s)
+            return NoPlacement("queue", choice.wait_s, detail, read_s)
         save_to = query.kv_cache_address if self._is_worth_saving(choice) else ""
         return Placement(
             choice.view.instance, choice.first_token_s, choice, save_to=save_to
         )
 
     def refuge(self, placement: Placement) -> Placement | None:
-        """Return the engine with the same weights that has most room."""
+        """Return the engine with the same weights that has the most capacity."""
         if not self._can_copy_runs:
             return None
         choice = placement.choice
@@ -246,12 +246,12 @@
         return Placement(view.instance, OVERHEAD_S, moved)
 
     def may_take(self, placement: Placement) -> bool:
-        """Return whether an engine may still get new work, and begin it in time."""
-        left_s = self.begin_before(placement) - WITHDRAW_S - trio.current_time()
+        """Return whether an engine accepts new work and can begin it in time."""
+        left_s = self.begin_before(placement) - WITHDRAW_MARGIN_S - trio.current_time()
         return left_s > OVERHEAD_S and super().may_take(placement)
 
     def begin_before(self, placement: Placement) -> float:
-        """Return when the weights that the engine is asked for are too old."""
+        """Return when the required weights version exceeds its age limit."""
         choice, limit_s = placement.choice, self.parts.cfg.weights_limit_s
         assert choice is not None
         if math.isinf(limit_s):
@@ -267,18 +267,16 @@
         return engine is not None and engine.can_copy_runs
 
     def _is_worth_saving(self, choice: EngineChoice) -> bool:
-        """Return whether the prompt's shared parts should go to the KV cache store.
+        """Return whether to save the prompt's shared parts to the KV cache store.
 
-        Saving each prompt whose parts are not known to lie there brought 136,000
-        tokens read again on a busy day against 204,000 when prompts with many tokens
-        of their own were left out, and 316,000 without saving.
+        Parts are saved unless they are known to be stored already.
         """
         if not self._part_ids:
             return False
         return not self.parts.engines.index.is_saved(choice.scope, self._part_ids)
 
     def terms(self, placement: Placement, left_s: float) -> SendTerms:
-        """Return what is said to the engine with one attempt."""
+        """Return what the router adds to the request for one attempt."""
         choice = placement.choice
         assert choice is not None
         account = self.account
@@ -298,20 +296,20 @@
         )
 
     def sent(self, key: str, placement: Placement) -> None:
-        """Count the prompt's tokens as under way."""
+        """Count the prompt's tokens as in flight."""
         choice = placement.choice
         assert choice is not None
         self.parts.engines.sent(key, choice, self._part_ids)
         self.parts.metrics.prompt_sent(choice.n_missing, self.prompt.n_prompt)
 
     def first_byte(self, key: str, placement: Placement, seconds: float) -> None:
-        """Learn that the prompt was read."""
+        """Record that the prefill is complete."""
         assert placement.choice is not None
         saved = bool(placement.save_to)
         self.parts.engines.first_token(key, placement.choice, self._part_ids, saved)
 
     def head(self, placement: Placement, head: UpstreamHead) -> None:
-        """Learn which weights the engine has, and that it refuses."""
+        """Record the engine's weights version and whether it refused the request."""
         engines = self.parts.engines
         if head.weights_version:
             model = self.prompt.model
@@ -320,12 +318,12 @@
             engines.refused(placement.instance)
 
     def ended(self, key: str, placement: Placement, was_read: bool) -> None:
-        """Take the count back."""
+        """Remove the prompt's tokens from those in flight."""
         assert placement.choice is not None
         self.parts.engines.ended(key, placement.choice, self._part_ids, was_read)
 
     def unreached(self, placement: Placement) -> None:
-        """Leave the engine alone for a moment, and let the peers know."""
+        """Avoid the engine for a moment, and announce it to the peers."""
         self.parts.engines.unreached(placement.instance)
 
     def _query(self, objective_left_s: float) -> EngineQuery | None:
@@ -350,6 +348,6 @@
         )
 
 
-NO_INSTANCE_S: Final = 0.5
-"""Estimated time until some instance can take work, when none can now: about a load
-of weights, or a heartbeat of the instances."""
+NO_INSTANCE_RETRY_S: Final = 0.5
+"""Retry-after time when no instance is available: about the duration of a weights load
+or a heartbeat interval."""
--- a/packages/corianderlb-router/src/corianderlb_router/in_flight.py
+++ b/packages/corianderlb-router/src/corianderlb_router/in_flight.py
@@ -1,4 +1,4 @@
-"""Know which attempts are in flight on which upstream instance, from this router."""
+"""Table of this router's attempts in flight, by upstream instance."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True)
 class InFlightAttempt:
-    """Hold one attempt that an upstream instance works on."""
+    """One attempt in flight on an upstream instance."""
 
     attempt_id: AttemptId
     incarnation: Incarnation
     body_digest: bytes
     apart: bool = False
-    """True for a suspect: no other suspect goes to its instance meanwhile."""
+    """True for a suspect: no other suspect is sent to its instance meanwhile."""
 
 
 class InFlightTable:
-    """Hold the attempts in flight.
+    """Attempts in flight.
 
-    An attempt stays in the table until it is clear how it ended: when an instance
-    crashes, its attempts fail one after the other, and each must still be found among
-    the suspects by the first that reports the crash.
+    An attempt stays in the table until its outcome is known. When an instance crashes,
+    its attempts fail one by one, and the first that reports the crash must still find
+    all others among the suspects.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self._reserved: dict[InstanceId, AttemptId] = {}
 
     def begin(self, attempt: InFlightAttempt) -> None:
-        """Put an attempt in the table."""
+        """Add an attempt to the table."""
         instance = attempt.incarnation.instance
         self._attempts[attempt.attempt_id] = attempt
         self._n_on[instance] = self._n_on.get(instance, 0) + 1
@@ -40,7 +40,7 @@
             self._reserved[instance] = attempt.attempt_id
 
     def end(self, attempt_id: AttemptId) -> None:
-        """Take an attempt out of the table."""
+        """Remove an attempt from the table."""
         attempt = self._attempts.pop(attempt_id)
         instance = attempt.incarnation.instance
         self._n_on[instance] -= 1
@@ -50,11 +50,11 @@
             del self._reserved[instance]
 
     def n_on(self, instance: InstanceId) -> int:
-        """Return how many attempts are in flight on an instance."""
+        """Return the number of attempts in flight on an instance."""
         return self._n_on.get(instance, 0)
 
     def is_reserved(self, instance: InstanceId) -> bool:
-        """Return whether a suspect has the instance for itself."""
+        """Return whether the instance is reserved for one suspect."""
         return instance in self._reserved
 
     def suspects(self, instance: InstanceId) -> tuple[bytes, ...]:
--- a/packages/corianderlb-router/src/corianderlb_router/run_mover.py
+++ b/packages/corianderlb-router/src/corianderlb_router/run_mover.py
@@ -1,10 +1,9 @@
-"""Move a run to another engine when its own is about to load other weights.
+"""Move a run to another engine when its engine is about to load other weights.
 
-An engine that is to load would otherwise be missing until its longest run has ended,
-or cut its callers off. The run's memory is copied to an engine with the same weights
-while it goes on; then it is cut off and goes on there, reading only what it made since
-the copy. The caller gets one answer, made on one version, and notices a pause of some
-dozen milliseconds.
+Otherwise the engine could not load until its longest run has completed, or would cut
+off its callers. The run's KV cache is copied to an engine with the same weights while
+the run continues; then the run is interrupted and resumed there, prefilling only the
+tokens generated since the copy. The caller gets one answer from one weights version.
 """
 
 from __future__ import annotations
@@ -23,28 +22,28 @@
 from .memory_copier import CopyOutcome, MemoryCopier
 from .weights_board import WeightsBoard
 
-AGAIN_S: Final = 0.1
-"""Pause after a copy that was not possible: another engine may have room by then."""
+RETRY_S: Final = 0.1
+"""Pause after a failed copy, before another engine may have capacity."""
 
 MAX_COPIES: Final = 2
-"""Copies that are tried for one run until it is read again elsewhere. Engines that are
-full of long prompts have no room for a copy, and yet admit an urgent request."""
+"""Copies tried per run before it is prefilled again elsewhere: an engine that lacks the
+capacity for a copy may still admit an urgent request."""
 
-DROP_S: Final = 0.3
-"""Longest wait for freeing a copy that nobody will use; it also lapses by itself."""
+DROP_TIMEOUT_S: Final = 0.3
+"""Timeout for freeing an unused copy, which otherwise expires."""
 
 
 class RunMovedError(UpstreamError):
-    """Signal a run that was taken off its engine, to go on at another one."""
+    """Raised when a run was interrupted, to be continued on another engine."""
 
     def __init__(self, placement: Placement | None) -> None:
-        super().__init__("taken off for a load of weights", sent=True)
+        super().__init__("interrupted for a weights load", sent=True)
         self.placement = placement
-        """Where its memory is; None when it is to be read again elsewhere."""
+        """Placement that continues from the copy; None to prefill again elsewhere."""
 
 
 class RunMover:
-    """Watch over one run, and move it when its engine is to be emptied."""
+    """Moves one run to another engine when its own is to be emptied."""
 
     def __init__(
         self,
@@ -54,7 +53,7 @@
         placement: Placement,
         relay: Relay,
         request_id: str,
-        may_go_on: Callable[[], bool],
+        charge_repeat: Callable[[], bool],
     ) -> None:
         self._relay = relay
         self._copier = copier
@@ -62,31 +61,31 @@
         self._target = target
         self._placement = placement
         self._request_id = request_id
-        self._may_go_on = may_go_on
-        self._moved: RunMovedError | None = None
+        self._charge_repeat = charge_repeat
+        self._move_error: RunMovedError | None = None
         self._unused_copy = ""
 
-    async def relay(self, take: Callable[[], Awaitable[None]]) -> None:
-        """Relay an answer; raise ``RunMovedError`` when the run was taken off."""
+    async def relay(self, relay_answer: Callable[[], Awaitable[None]]) -> None:
+        """Relay an answer; raise ``RunMovedError`` if the run was interrupted."""
         failed: Exception | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch)
             try:
-                await take()
+                await relay_answer()
             except Exception as exc:
-                # Raised here it would leave the nursery inside a group.
+                # The nursery would wrap it in an exception group.
                 failed = exc
             nursery.cancel_scope.cancel()
-        if self._moved is not None and isinstance(failed, TakenOffError):
-            raise self._moved
+        if self._move_error is not None and isinstance(failed, TakenOffError):
+            raise self._move_error
         if self._unused_copy:
-            with trio.move_on_after(DROP_S, shield=True):
+            with trio.move_on_after(DROP_TIMEOUT_S, shield=True):
                 await self._copier.drop(self._placement.instance, self._unused_copy)
         if failed is not None:
             raise failed
 
     async def _watch(self) -> None:
-        """Take the run off once its engine is to be emptied and there is a way."""
+        """Interrupt the run once its engine is to be emptied and it can be moved."""
         instance = self._placement.instance
         n_copies = 0
         while True:
@@ -94,23 +93,23 @@
             refuge = self._target.refuge(self._placement)
             is_clearing = self._weights.phase(instance) is EnginePhase.CLEARING
             if refuge is None and not is_clearing:
-                await trio.sleep(AGAIN_S)
+                await trio.sleep(RETRY_S)
                 continue
-            # What the other engine is sent counts as a repeat.
-            if n_copies == 0 and not self._may_go_on():
+            # The request to the other engine counts as a retry.
+            if n_copies == 0 and not self._charge_repeat():
                 return
             if refuge is not None and n_copies < MAX_COPIES:
                 n_copies += 1
-                self._moved = await self._copy(refuge)
+                self._move_error = await self._copy_run(refuge)
             else:
-                self._moved = RunMovedError(None)
-            if self._moved is not None:
-                self._relay.take_off()
+                self._move_error = RunMovedError(None)
+            if self._move_error is not None:
+                self._relay.interrupt()
                 return
-            await trio.sleep(AGAIN_S)
+            await trio.sleep(RETRY_S)
 
-    async def _copy(self, refuge: Placement) -> RunMovedError | None:
-        """Copy the run's memory; return how it goes on, or None if it stays."""
+    async def _copy_run(self, refuge: Placement) -> RunMovedError | None:
+        """Copy the run's KV cache; return the error to raise, or None if it stays."""
         instance = self._placement.instance
         started_at = trio.current_time()
         copy = await self._copier.copy(instance, self._request_id, refuge.instance)
