--- a/packages/corianderlb-router/tests/forward_builders.py
+++ b/packages/corianderlb-router/tests/forward_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of forwarding: a router in memory, scripted upstreams, callers."""
+"""Builders for tests of forwarding: in-memory router, scripted upstreams, callers."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 MODEL = "m"
 SEALED = {"x-seal": "s"}
-"""What an upstream adds to an answer of its own."""
+"""Header that marks an upstream's own answer."""
 
 
 def a_route(name: str, kind: RepeatKind, upstream: str, **fields: Any) -> ForwardRoute:
@@ -117,18 +117,18 @@
 
 
 def an_object(name: str, revision: int = 20) -> SharedObject:
-    """Build an object of the store whose content a ``TableDecoder`` knows."""
+    """Build a stored object that a ``TableDecoder`` can decode."""
     return SharedObject(name, revision, b"")
 
 
 class TableDecoder(StateDecoder):
-    """Give the objects that a test has laid down by name and revision."""
+    """Decodes objects to the values that a test has put, by name and revision."""
 
     def __init__(self) -> None:
         self.table: dict[tuple[str, int], Any] = {}
 
     def put(self, value: Any, name: str, revision: int = 20) -> SharedObject:
-        """Lay down what an object decodes to."""
+        """Set the value that an object decodes to."""
         self.table[name, revision] = value
         return an_object(name, revision)
 
@@ -148,7 +148,7 @@
 
 
 class PlainProtocol(ForwardProtocol):
-    """Speak short headers of its own."""
+    """Protocol with short header names."""
 
     def read_request(self, scope: dict[str, Any]) -> ForwardRequest:
         headers = {k.decode(): v.decode() for k, v in scope["headers"]}
@@ -208,7 +208,7 @@
 def an_answer(
     body: bytes = b"done", status: int = 200, length: int | None = None, **headers: str
 ) -> bytes:
-    """Build the bytes of a whole answer; ``length`` may say another length."""
+    """Build the bytes of a whole answer; ``length`` overrides its length."""
     named = {**SEALED, **{k.replace("_", "-"): v for k, v in headers.items()}}
     lines = [f"HTTP/1.1 {status} OK", f"content-length: {length or len(body)}"]
     lines += [f"{name}: {value}" for name, value in named.items()]
@@ -238,7 +238,7 @@
 
 @dataclass
 class Upstream:
-    """Answer each request with the next of the scripted answers.
+    """Upstream that answers each request with the next scripted answer.
 
     An answer is bytes, after which the connection stays open, or a coroutine function
     that gets the connection. After the script the last answer repeats.
@@ -249,7 +249,7 @@
     """Whether the connection ends after an answer."""
     alive: bool = True
     requests: list[dict[str, str]] = field(default_factory=list)
-    """Headers of what arrived; ``:target`` is the request line's target."""
+    """Headers of the received requests; ``:target`` is the request line's target."""
     bodies: list[bytes] = field(default_factory=list)
     n_closed: int = 0
     """Connections that the router closed."""
@@ -293,13 +293,13 @@
     return data.partition(mark)
 
 
-async def hang(stream: trio.abc.Stream) -> None:
-    """Take a request and say nothing."""
+async def never_answer(stream: trio.abc.Stream) -> None:
+    """Take a request and never answer it."""
     await trio.sleep_forever()
 
 
 class UpstreamNetwork(Connector):
-    """Connect to the scripted upstreams by name."""
+    """Connects to the scripted upstreams by name."""
 
     def __init__(self, nursery: trio.Nursery, upstreams: dict[str, Upstream]) -> None:
         self._nursery = nursery
@@ -309,14 +309,14 @@
         await trio.lowlevel.checkpoint()
         upstream = self.upstreams[address.partition(":")[0]]
         if not upstream.alive:
-            raise ConnectionRefusedError("nobody listens")
+            raise ConnectionRefusedError("connection refused")
         ours, theirs = trio.testing.memory_stream_pair()
         self._nursery.start_soon(upstream.serve, theirs)
         return ours
 
 
 class ForwardRouter:
-    """Hold the parts of one forwarding router over scripted upstreams."""
+    """Forwarding router over scripted upstreams."""
 
     def __init__(self, network: UpstreamNetwork, budget: BudgetTerms) -> None:
         self.network = network
@@ -342,38 +342,38 @@
         )
         self.dispatcher = ForwardDispatcher(self.parts, self.exchanges)
 
-    def copy_with(self, copier):
-        """Have engines copy runs to each other; return what was given."""
+    def use_copier(self, copier):
+        """Copy runs between engines with the given copier, and return it."""
         copier.router = self
         self.parts = dataclasses.replace(self.parts, copier=copier)
         self.dispatcher = ForwardDispatcher(self.parts, self.exchanges)
         return copier
 
     def limit_weights(self, seconds: float) -> None:
-        """Have nothing begin on weights that were replaced longer ago than this."""
+        """Set the maximum age of replaced weights on which requests may begin."""
         cfg = dataclasses.replace(self.parts.cfg, weights_limit_s=seconds)
         self.parts = dataclasses.replace(self.parts, cfg=cfg)
         self.dispatcher = ForwardDispatcher(self.parts, self.exchanges)
 
     def name_weights(self, version: int) -> None:
-        """Have a watch of the store tell of a version."""
+        """Apply a watch of the store that announces a version."""
         stored = self.decoder.put(NamedWeights(MODEL, version), MODEL, 20 + version)
-        told = FeedChanges((FeedChange(stored, False),), 20 + version)
-        self.state.apply_changes(WEIGHTS, told)
+        changes = FeedChanges((FeedChange(stored, False),), 20 + version)
+        self.state.apply_changes(WEIGHTS, changes)
 
-    def begin_life(self) -> None:
-        """Take this moment for the start of the router's process."""
+    def mark_process_start(self) -> None:
+        """Set the start time of the router's process to now."""
         now = trio.current_time()
         self.parts = dataclasses.replace(self.parts, started_at=now)
         self.dispatcher = ForwardDispatcher(self.parts, self.exchanges)
 
     def configure(self, cfg: ForwardConfiguration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         stored = self.decoder.put(cfg, "main", cfg.revision)
         self.state.apply_listing(CONFIGURATION, FeedListing((stored,), cfg.revision))
 
     def list_instances(self, *instances: ForwardInstance, revision: int = 20) -> None:
-        """Take a list of instances from the store."""
+        """Apply a list of instances from the store."""
         stored = tuple(
             self.decoder.put(dataclasses.replace(item), item.instance, revision)
             for item in instances
@@ -392,7 +392,7 @@
         return FakeCaller(path, body or b"body", **named)
 
     async def serve(self, caller: FakeCaller) -> None:
-        """Take a caller's request to its end."""
+        """Handle a caller's request."""
         scope = {
             "method": "POST",
             "path": caller.path,
@@ -407,7 +407,7 @@
 async def a_router(
     budget: BudgetTerms | None = None, **upstreams: Upstream
 ) -> AsyncIterator[ForwardRouter]:
-    """Run a router over upstreams; those named ``e...`` are engines, others plain."""
+    """Run a router; upstreams named ``e...`` are engines, the others plain services."""
     async with trio.open_nursery() as nursery:
         network = UpstreamNetwork(nursery, upstreams)
         router = ForwardRouter(network, budget or BudgetTerms())
--- a/packages/corianderlb-router/tests/test_at_most_once.py
+++ b/packages/corianderlb-router/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-repeatable call runs at most once over all routers, whatever the store does."""
+"""Tests that a call runs at most once over all routers, despite store failures."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FakeNetwork(PeerNetwork):
-    """Name members without a network."""
+    """Peer network with fixed members that sends nothing."""
 
     def __init__(self, **epochs: int) -> None:
         self.epochs = epochs
@@ -95,7 +95,7 @@
                 outcome = await self.begin(journal)
                 self.assertEqual(outcome, EarlierAnswer(ANSWER))
 
-    async def test_long_answer_comes_back_whole(self) -> None:
+    async def test_long_answer_is_returned_complete(self) -> None:
         answer = CallAnswer(200, (), random.Random(1).randbytes(1_300_000))
         async with self.running("r1") as one, self.running("r2") as two:
             await one.finish(await self.begin(one), answer)
@@ -104,10 +104,9 @@
         self.assertLess(longest, 1_000_000)
 
     async def test_long_headers_do_not_fill_a_head(self) -> None:
-        """Many answers with long headers are recorded in one batch.
+        """Guards against a batch of long headers that exceeds the store's size limit.
 
-        The head would outgrow what the store takes, and every call of the shard would
-        be refused from then on.
+        Every later call of the shard would be refused.
         """
         answer = CallAnswer(200, (("x-note", "n" * 20_000),), b"booked")
         async with self.running("r1") as one, self.running("r2") as two:
@@ -131,10 +130,7 @@
             self.assertIsInstance(outcome, BegunCall)
 
     async def test_two_routers_race_with_one_key(self) -> None:
-        """A caller's client times out and asks a second router at the same moment.
-
-        Both routers saw no record. If both ran it, the buyer would be billed twice.
-        """
+        """Guards against two routers that run a call with one key concurrently."""
         outcomes: list[Any] = []
 
         async def race(journal: StoreCallJournal) -> None:
@@ -152,11 +148,10 @@
         refused = next(o for o in outcomes if not isinstance(o, BegunCall))
         self.assert_refused(refused, ResultCode.CALL_IN_PROGRESS)
 
-    async def test_lost_answer_is_read_back(self) -> None:
-        """The store takes the record and its answer is lost on the way back.
+    async def test_write_with_a_lost_response_is_read_back(self) -> None:
+        """The store writes the record but its response is lost.
 
-        Begun twice, the call would run twice; given up, a sign-off would be lost
-        though nothing is wrong with the service.
+        The call must neither run twice nor be refused.
         """
         async with self.running("r1") as one, self.running("r2") as two:
             self.store.faults.n_lost_answers = 1
@@ -167,11 +162,10 @@
             await one.finish(call, ANSWER)
             self.assertEqual(await self.begin(two), EarlierAnswer(ANSWER))
 
-    async def test_store_down_is_a_true_not_run(self) -> None:
-        """The platform's store is out of reach for longer than a caller waits.
+    async def test_store_outage_refuses_a_call_as_not_run(self) -> None:
+        """The store is unavailable for longer than a caller waits.
 
-        The caller must hear that the call was not run and when to come back; and when
-        it does, the call runs.
+        The refusal must carry a retry-after time, and the retry must run.
         """
         async with self.running() as journal:
             self.store.faults.unavailable = True
@@ -181,16 +175,15 @@
             self.store.faults.unavailable = False
             self.assertIsInstance(await self.begin(journal), BegunCall)
 
-    async def test_record_that_lands_late_is_taken_back(self) -> None:
-        """A write seems lost, the caller hears "not run", and then the write lands.
+    async def test_record_written_late_is_removed(self) -> None:
+        """A call is refused as not run, and then the write of its record completes.
 
-        Left alone, the record would tell every repeat that the outcome is unknown,
-        and a sign-off that never ran could never be made.
+        If the record stayed, every retry would get "outcome unknown".
         """
         async with self.running(begin_timeout_s=0.5) as journal:
             self.store.faults.n_late_writes = 1
             self.store.faults.late_s = 2.0
-            self.store.before_write = self._go_down_after_this_write
+            self.store.before_write = self._fail_store_after_write
             outcome = await self.begin(journal)
             self.assert_refused(outcome, ResultCode.STORE_UNAVAILABLE)
             await trio.sleep(5)
@@ -199,16 +192,16 @@
             await journal.drain()
             self.assertIsInstance(await self.begin(journal), BegunCall)
 
-    async def test_record_that_lands_after_it_was_taken_back(self) -> None:
-        """A write lands so late that the router has already looked for it in vain.
+    async def test_record_written_after_its_removal(self) -> None:
+        """A write completes after the router has read the store without finding it.
 
-        The caller heard "not run", so its repeat has to run the call.
+        The call was refused as not run, so a retry must run.
         """
         async with self.running(begin_timeout_s=0.5) as journal:
             await self.begin(journal, key="warm")
             self.store.faults.n_late_writes = 1
             self.store.faults.late_s = 4.0
-            self.store.before_write = self._go_down_after_this_write
+            self.store.before_write = self._fail_store_after_write
             outcome = await self.begin(journal)
             self.assert_refused(outcome, ResultCode.STORE_UNAVAILABLE)
             self.store.before_write = None
@@ -217,14 +210,14 @@
             await trio.sleep(6)
             self.assertIsInstance(await self.begin(journal), BegunCall)
 
-    async def _go_down_after_this_write(self, key: str) -> None:
+    async def _fail_store_after_write(self, key: str) -> None:
         self.store.faults.unavailable = True
 
     async def test_router_killed_while_call_runs(self) -> None:
-        """A router dies after it began a sign-off, so nobody will write the answer.
+        """A router is killed after it began a call, so no answer will be recorded.
 
-        The repeat through another router must never run it again, and must say so
-        instead of asking the caller to come back for ever.
+        A retry must not run the call, and must get "outcome unknown" instead of
+        "call in progress" for ever.
         """
         async with self.running("r1") as one:
             self.assertIsInstance(await self.begin(one), BegunCall)
@@ -234,14 +227,13 @@
             await trio.sleep(3.5)
             self.assert_refused(await self.begin(two), ResultCode.OUTCOME_UNKNOWN)
         self.network.epochs = {"r1": 2, "r2": 1}
-        async with self.running("r1", epoch=2) as reborn:
-            self.assert_refused(await self.begin(reborn), ResultCode.OUTCOME_UNKNOWN)
+        async with self.running("r1", epoch=2) as restarted:
+            self.assert_refused(await self.begin(restarted), ResultCode.OUTCOME_UNKNOWN)
 
-    async def test_paused_router_wakes_after_its_call_was_in_doubt(self) -> None:
-        """A router sleeps in the middle of a call until the others give it up.
+    async def test_paused_router_resumes_after_its_call_became_unknown(self) -> None:
+        """A router pauses during a call until its peers consider it dead.
 
-        The caller heard that the outcome is unknown. When the router wakes with the
-        answer, a later repeat gets that answer, and nothing ran twice.
+        After it resumes with the answer, a retry must get that answer and not run.
         """
         async with self.running("r1") as one, self.running("r2") as two:
             call = await self.begin(one)
@@ -253,7 +245,7 @@
             self.assertEqual(await self.begin(two), EarlierAnswer(ANSWER))
             self.assertLess(call.send_before, trio.current_time() + 1)
 
-    async def test_not_run_lets_a_later_try_run(self) -> None:
+    async def test_call_that_has_not_run_may_be_retried(self) -> None:
         async with self.running("r1") as one, self.running("r2") as two:
             await one.abandon(await self.begin(one), ran=False)
             call = await self.begin(two)
@@ -261,11 +253,10 @@
             await two.abandon(call, ran=True)
             self.assert_refused(await self.begin(one), ResultCode.OUTCOME_UNKNOWN)
 
-    async def test_caller_hangs_up_while_recording(self) -> None:
-        """A caller hangs up while the record is on its way to the store.
+    async def test_caller_disconnects_while_recording(self) -> None:
+        """A caller disconnects while the record is being written.
 
-        Nothing was sent upstream, so its next try has to run rather than hear that
-        the outcome is unknown.
+        Nothing was sent upstream, so a retry must run.
         """
         async with self.running() as journal:
             self.store.faults.delay_s = 0.2
@@ -276,11 +267,11 @@
             await journal.drain()
             self.assertIsInstance(await self.begin(journal), BegunCall)
 
-    async def test_answer_outlives_a_store_outage(self) -> None:
+    async def test_answer_survives_a_store_outage(self) -> None:
         """The store goes down between a call's record and its answer.
 
-        The caller gets the answer at once; so does a repeat here, and a repeat
-        elsewhere once the store is back.
+        A retry on the same router must get the answer, and a retry on another router
+        once the store is available again.
         """
         async with self.running("r1") as one, self.running("r2") as two:
             call = await self.begin(one)
@@ -291,7 +282,7 @@
             await one.drain()
             self.assertEqual(await self.begin(two), EarlierAnswer(ANSWER))
 
-    async def test_repeat_waits_for_the_run_here(self) -> None:
+    async def test_retry_waits_for_the_run_on_the_same_router(self) -> None:
         async with self.running() as journal:
             call = await self.begin(journal)
             outcomes = []
@@ -310,7 +301,7 @@
             )
             await journal.finish(slow, ANSWER)
 
-    async def test_head_stays_small_and_cold_router_knows_all(self) -> None:
+    async def test_head_stays_small_and_new_router_reads_all_records(self) -> None:
         cfg = {"seal_bytes": 4096, "max_segments": 50}
         async with self.running("r1", **cfg) as one:
             for n in range(100):
@@ -326,12 +317,8 @@
             n_objects = len(self.store.objects)
             self.assertLessEqual(self.store.calls["get"] - before, n_objects + 2)
 
-    async def test_full_shard_refuses_and_expiry_makes_room(self) -> None:
-        """Calls come faster than their records may expire.
-
-        Dropping records early would let an old booking run again, so new calls are
-        refused as not run until the oldest records have had their time.
-        """
+    async def test_full_shard_refuses_until_records_expire(self) -> None:
+        """Guards against dropping records early, so that old calls could run again."""
         cfg = {"seal_bytes": 2048, "max_segments": 2, "retention_s": 100.0}
         async with self.running("r1", **cfg) as one:
             for n in range(200):
--- a/packages/corianderlb-router/tests/test_forward_app.py
+++ b/packages/corianderlb-router/tests/test_forward_app.py
@@ -1,4 +1,4 @@
-"""What the balancer and whoever reads metrics get from a router's status address."""
+"""Tests of the status address: readiness checks and metrics."""
 
 from __future__ import annotations
 
@@ -24,21 +24,20 @@
         await app({"type": "http", "path": path}, receive, send)
         return sent
 
-    async def test_balancer_lets_go_of_a_router_that_is_not_ready(self) -> None:
-        # A router that has not read its configuration, or leaves, must not get new
-        # connections: callers would be refused.
+    async def test_router_that_is_not_ready_fails_its_readiness_check(self) -> None:
+        # A router without a configuration, or draining, must not get new connections.
         start, body = await self.get("/ready", is_ready=False)
         self.assertEqual((start["status"], body["body"]), (503, b""))
         start, _ = await self.get("/ready")
         self.assertEqual(start["status"], 200)
 
-    async def test_metrics_are_text_of_their_type(self) -> None:
+    async def test_metrics_are_prometheus_text(self) -> None:
         start, body = await self.get(METRICS_PATH)
         headers = dict(start["headers"])
         self.assertEqual(start["status"], 200)
         self.assertTrue(headers[b"content-type"].startswith(b"text/plain"))
         self.assertIn(b"corianderlb_routers 3.0", body["body"])
 
-    async def test_nothing_else_is_served(self) -> None:
+    async def test_other_paths_are_not_found(self) -> None:
         start, _ = await self.get("/v1/else")
         self.assertEqual(start["status"], 404)
--- a/packages/corianderlb-router/tests/test_forward_run.py
+++ b/packages/corianderlb-router/tests/test_forward_run.py
@@ -1,4 +1,4 @@
-"""What callers get when upstreams, instances or routers fail under their requests."""
+"""Tests of forwarding when upstreams, instances or routers fail."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     an_answer,
     an_event,
     an_instance,
-    hang,
+    never_answer,
 )
 
 PROMPT = "a:100,own:50"
@@ -40,25 +40,23 @@
             self.assertEqual((caller.status, caller.answer), (200, b"status"))
             self.assertEqual(caller.answer_headers["x-seal"], "s")
 
-    async def test_booking_is_not_sent_again_after_its_connection_broke(self) -> None:
-        # The service takes a booking and the connection breaks before the answer. Sent
-        # again it would book twice; the caller must hear that nobody knows.
+    async def test_booking_is_not_retried_after_a_broken_connection(self) -> None:
+        # The booking may have run, so a retry could book twice.
         service = Upstream([b""], closes=True)
         async with a_router(s1=service, s2=service) as router:
             caller = await router.ask("/book/7")
             self.assertEqual(caller.status, 502)
             self.assertEqual(len(service.requests), 1)
 
-    async def test_booking_goes_on_after_a_refusal_that_it_has_not_run(self) -> None:
-        # A full instance refuses and says that it did not run the booking. Another one
-        # has room; the caller notices nothing.
+    async def test_booking_is_retried_after_a_not_run_refusal(self) -> None:
+        # A full instance refuses a booking as not run; another one has capacity.
         first, second = Upstream([NOT_RUN]), Upstream([NOT_RUN])
         async with a_router(s1=first, s2=second) as router:
             first.script = second.script = [NOT_RUN, an_answer()]
             caller = await router.ask("/book/7")
             self.assertEqual((caller.status, caller.answer), (200, b"done"))
 
-    async def test_refusal_by_all_is_a_true_not_run(self) -> None:
+    async def test_refusal_by_all_instances_is_reported_as_not_run(self) -> None:
         upstreams = {name: Upstream([NOT_RUN]) for name in ("s1", "s2")}
         budget = BudgetTerms(ratio=0.0, fixed=2.0)
         async with a_router(budget, **upstreams) as router:
@@ -66,22 +64,21 @@
             self.assertEqual(caller.status, 503)
             self.assertLess(float(caller.answer_headers["retry-after"]), 5 / 3)
 
-    async def test_read_is_sent_again_after_an_error(self) -> None:
+    async def test_read_is_retried_after_an_error(self) -> None:
         bad = Upstream([an_answer(b"bad", 500), an_answer(b"good")])
         async with a_router(s1=bad, s2=Upstream([an_answer(b"good")])) as router:
             caller = await router.ask("/read/7")
             self.assertEqual((caller.status, caller.answer), (200, b"good"))
 
-    async def test_second_error_is_passed_on_as_it_is(self) -> None:
+    async def test_second_error_is_relayed_unchanged(self) -> None:
         bad = {name: Upstream([an_answer(b"bad", 500)]) for name in ("s1", "s2")}
         async with a_router(**bad) as router:
             caller = await router.ask("/read/7")
             self.assertEqual((caller.status, caller.answer), (500, b"bad"))
             self.assertEqual(caller.answer_headers["x-seal"], "s")
 
-    async def test_read_is_not_sent_again_beyond_the_budget(self) -> None:
-        # All instances fail all reads. With each read sent twice the service would get
-        # twice its load just then, and never recover.
+    async def test_read_is_not_retried_beyond_the_budget(self) -> None:
+        # Guards against retries that double the load of a failing service.
         bad = Upstream([an_answer(b"bad", 500)])
         budget = BudgetTerms(ratio=0.2, fixed=0.0)
         async with a_router(budget, s1=bad) as router:
@@ -90,11 +87,11 @@
             self.assertLessEqual(len(bad.requests), 60)
             self.assertGreater(len(bad.requests), 52)
 
-    async def test_router_that_has_just_started_sends_little_again(self) -> None:
-        """Guard against repeats that an earlier life of the router has spent."""
+    async def test_retries_are_limited_after_a_start(self) -> None:
+        """Guards against spending the budget of an earlier incarnation again."""
         bad = Upstream([an_answer(b"bad", 500)])
         async with a_router(BudgetTerms(ratio=0.0, fixed=12.0), s1=bad) as router:
-            router.begin_life()
+            router.mark_process_start()
             for n in range(10):
                 await router.ask("/read/7", x_id=f"q{n}")
             self.assertEqual(len(bad.requests), 12)
@@ -103,29 +100,27 @@
                 await router.ask("/read/7", x_id=f"r{n}")
             self.assertEqual(len(bad.requests), 12 + 19)
 
-    async def test_half_an_answer_is_no_answer(self) -> None:
-        # The service breaks off inside the body. The caller must not take the half for
-        # the whole.
+    async def test_truncated_answer_is_an_error(self) -> None:
+        # The connection closes inside the body; the caller must not get part of it.
         half = Upstream([an_answer(b"half", length=8)], closes=True)
         async with a_router(s1=half) as router:
             caller = await router.ask("/book/7")
             self.assertEqual(caller.status, 502)
 
-    async def test_answer_without_its_seal_is_not_passed_on(self) -> None:
+    async def test_answer_without_its_seal_is_not_relayed(self) -> None:
         bare = Upstream([b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"])
         async with a_router(s1=bare) as router:
             self.assertEqual((await router.ask("/book/7")).status, 502)
 
-    async def test_answer_to_another_request_is_not_passed_on(self) -> None:
-        # A late answer to an earlier request arrives where this one's is due. Its
-        # caller would see somebody else's booking.
+    async def test_answer_to_another_request_is_not_relayed(self) -> None:
+        # Guards against a late answer to an earlier request of another caller.
         other = Upstream([an_answer(b"other", x_id="q0")])
         async with a_router(s1=other) as router:
             self.assertEqual((await router.ask("/book/7")).status, 502)
 
-    async def test_reused_address_runs_nothing(self) -> None:
-        # An instance ends and another service gets its address, while the list still
-        # names the old one. The request must go to an instance of its own service.
+    async def test_instance_at_a_reused_address_runs_nothing(self) -> None:
+        # Another service has the address of an instance that is still listed; requests
+        # must go to an instance of their own service.
         taken = Upstream([an_answer(b"", 421, x_instance="x9")])
         right = Upstream([an_answer(b"right")])
         async with a_router(s1=taken, s2=right) as router:
@@ -134,39 +129,37 @@
                 self.assertEqual(caller.answer, b"right")
             self.assertLessEqual(len(taken.requests), 1)
 
-    async def test_silent_connection_does_not_hold_up_a_read(self) -> None:
-        # A connection swallows the request. The caller of a read gets its answer from
-        # another instance well before its deadline.
-        service = Upstream([hang, an_answer()])
+    async def test_unresponsive_connection_does_not_delay_a_read(self) -> None:
+        # A read must be sent to another instance well before its deadline.
+        service = Upstream([never_answer, an_answer()])
         async with a_router(s1=service, s2=service) as router:
             start = trio.current_time()
             caller = await router.ask("/read/7")
             self.assertEqual(caller.status, 200)
             self.assertLess(trio.current_time() - start, 1.0)
 
-    async def test_deadline_ends_a_call_that_hangs(self) -> None:
-        async with a_router(s1=Upstream([hang])) as router:
+    async def test_deadline_ends_a_stalled_call(self) -> None:
+        async with a_router(s1=Upstream([never_answer])) as router:
             start = trio.current_time()
             caller = await router.ask("/book/7", x_deadline_s="1.5")
             self.assertEqual(caller.status, 504)
             self.assertAlmostEqual(trio.current_time() - start, 1.5, delta=0.05)
 
-    async def test_log_names_who_had_a_request_whose_time_was_over(self) -> None:
-        # An engine takes a stream and says nothing until its time is over. The log line
-        # of the request had no attempts, so that nobody could tell which engine it was.
+    async def test_log_names_the_instance_of_a_timed_out_request(self) -> None:
+        # Guards against a log line without the attempt that was cancelled.
         lines: list[dict] = []
-        async with a_router(e1=Upstream([hang])) as router:
+        async with a_router(e1=Upstream([never_answer])) as router:
             eliot.add_destinations(lines.append)
             try:
                 await router.ask("/quick/7", x_prompt=PROMPT, x_deadline_s="1.5")
             finally:
                 eliot.remove_destination(lines.append)
-        # The first destination also gets what earlier tests logged.
+        # The first destination also receives log lines of earlier tests.
         ended = [x for x in lines if x.get("message_type") == "request:ended"][-1]
         (note,) = ended["attempts"]
         self.assertEqual((note.instance, note.outcome), ("e1", "abandoned"))
 
-    async def test_time_that_is_left_is_passed_on(self) -> None:
+    async def test_remaining_time_is_forwarded(self) -> None:
         upstream = Upstream([an_answer()])
         async with a_router(s1=upstream) as router:
             await router.ask("/book/7", x_deadline_s="1.5")
@@ -174,10 +167,9 @@
             await router.ask("/book/7", x_deadline_s="60")
             self.assertLessEqual(float(upstream.requests[1]["x-left-s"]), 5.0)
 
-    async def test_caller_that_leaves_cancels_its_read(self) -> None:
-        # A caller closes its connection. The service would go on working for nobody
-        # while others wait for its places.
-        upstream = Upstream([hang])
+    async def test_disconnect_of_the_caller_cancels_its_read(self) -> None:
+        # Guards against abandoned reads that occupy the service's slots.
+        upstream = Upstream([never_answer])
         async with a_router(s1=upstream) as router:
             caller = router.a_caller("/read/7")
             async with trio.open_nursery() as nursery:
@@ -192,27 +184,25 @@
             self.assertEqual((await router.ask("/read/7", x_key="no")).status, 401)
             self.assertEqual((await router.ask("/other/7")).status, 404)
 
-    async def test_unknown_route_of_a_router_cut_off(self) -> None:
-        # A route was added while this router heard from neither store nor peers. "No
-        # such route" would be false; another instance may know it.
+    async def test_unknown_route_on_a_partitioned_router(self) -> None:
+        # The configuration is unconfirmed and may lack a new route or key, so a router
+        # must not answer "not found".
         async with a_router(s1=Upstream([an_answer()])) as router:
             await trio.sleep(10)
             self.assertEqual((await router.ask("/new/7")).status, 503)
             self.assertEqual((await router.ask("/read/7", x_key="new")).status, 503)
             self.assertEqual((await router.ask("/read/7")).status, 200)
 
-    async def test_nothing_known_yet(self) -> None:
-        # A router has just started and has read nothing. It must not deny what the
-        # configuration allows.
+    async def test_router_without_a_configuration(self) -> None:
+        # A router that has just started must refuse temporarily, with a retry time.
         async with a_router(s1=Upstream([an_answer()])) as router:
             router.state.configuration = None
             caller = await router.ask("/read/7")
             self.assertEqual(caller.status, 503)
             self.assertIn("retry-after", caller.answer_headers)
 
-    async def test_nobody_listens_at_any_instance(self) -> None:
-        # All instances have died and are still listed. The request is refused soon and
-        # truly as not run, instead of knocking at closed doors until its deadline.
+    async def test_all_instances_refuse_connections(self) -> None:
+        # The request must be refused soon as not run, not retried until its deadline.
         dead = {name: Upstream([an_answer()], alive=False) for name in ("s1", "s2")}
         async with a_router(**dead) as router:
             start = trio.current_time()
@@ -233,8 +223,8 @@
             self.assertEqual((len(leaving.requests), len(staying.requests)), (0, 5))
 
     async def test_request_that_crashes_instances_is_refused(self) -> None:
-        # A request kills each instance that begins to run it, and its caller sends it
-        # again. Without a count over all attempts it would take down one after another.
+        # A request crashes each instance that runs it, and its caller repeats it.
+        # Guards against crashing one instance after another.
         crashing = {name: Upstream([b""], closes=True) for name in ("s1", "s2", "s3")}
         async with a_router(**crashing) as router:
 
@@ -254,88 +244,84 @@
 
 
 class StreamTest(TrioTestCase):
-    async def test_stream_is_relayed_whole(self) -> None:
+    async def test_stream_is_relayed_completely(self) -> None:
         async with a_router(e1=Upstream([a_stream(1, 4)])) as router:
             caller = await router.ask("/long/7", x_prompt=PROMPT)
             events = b"".join(an_event(n) for n in range(1, 5))
             self.assertEqual((caller.answer, caller.finished), (events, True))
 
-    async def test_broken_stream_goes_on_elsewhere(self) -> None:
-        # An engine dies after three events. The caller gets the rest from another
-        # engine: no event is missing, none comes twice.
-        async def break_off(stream: trio.abc.Stream) -> None:
+    async def test_broken_stream_resumes_on_another_engine(self) -> None:
+        # The caller must get each event exactly once.
+        async def break_connection(stream: trio.abc.Stream) -> None:
             await stream.send_all(a_stream(1, 3, ends=False))
             await stream.aclose()
 
-        engine = Upstream([break_off, a_stream(4, 6)])
+        engine = Upstream([break_connection, a_stream(4, 6)])
         async with a_router(e1=engine, e2=engine) as router:
             caller = await router.ask("/long/7", x_prompt=PROMPT)
             events = b"".join(an_event(n) for n in range(1, 7))
             self.assertEqual((caller.answer, caller.finished), (events, True))
             self.assertEqual(engine.requests[1]["x-after"], "3")
 
-    async def test_broken_stream_goes_on_although_queues_are_long(self) -> None:
-        # An engine dies in mid-stream during a rush. Its caller has half the answer; a
-        # refusal now would waste that half, and the caller would ask for all again.
-        async def break_off(stream: trio.abc.Stream) -> None:
+    async def test_broken_stream_resumes_despite_long_queues(self) -> None:
+        # An engine fails in mid-stream during a surge of traffic. A refusal would waste
+        # the part that the caller already has.
+        async def break_connection(stream: trio.abc.Stream) -> None:
             await stream.send_all(a_stream(1, 3, ends=False))
             for instance in router.state.instances("llm"):
                 pace = router.board.view(instance, "m").pace
                 pace.hear("r2", PeerWork(80_000, 5, 0, trio.current_time()))
             await stream.aclose()
 
-        engine = Upstream([break_off, a_stream(4, 6)])
+        engine = Upstream([break_connection, a_stream(4, 6)])
         async with a_router(e1=engine, e2=engine) as router:
             caller = await router.ask("/long/7", x_prompt=PROMPT)
             self.assertTrue(caller.finished)
             self.assertTrue(caller.answer.endswith(an_event(6)))
 
     async def test_broken_stream_that_may_not_resume_is_cut_visibly(self) -> None:
-        # The engine dies in a stream that may run only once. An end mark would let
-        # half an answer pass for the whole.
+        # The final chunk must be missing, so that the caller sees an incomplete answer.
         cut = Upstream([a_stream(1, 3, ends=False)], closes=True)
         async with a_router(e1=cut) as router:
             caller = await router.ask("/quick/7", x_prompt=PROMPT)
             self.assertEqual((caller.status, caller.finished), (200, False))
             self.assertEqual(len(cut.requests), 1)
 
-    async def test_event_that_is_skipped_is_not_passed_over(self) -> None:
-        # An engine goes on two events too far. The caller's text would have a hole.
+    async def test_gap_in_event_numbers_is_an_error(self) -> None:
+        # Guards against relaying a stream that lacks events.
         gap = a_stream(1, 2, ends=False) + a_stream(5, 6).partition(b"\r\n\r\n")[2]
         async with a_router(e1=Upstream([gap])) as router:
             caller = await router.ask("/quick/7", x_prompt=PROMPT)
             self.assertNotIn(an_event(5), caller.answer)
             self.assertFalse(caller.status == 200 and caller.finished)
 
-    async def test_stream_of_a_silent_engine_goes_on_elsewhere(self) -> None:
-        # An engine falls silent in mid-stream without closing. The caller waits a
-        # second for the next event, not until its deadline.
-        async def fall_silent(stream: trio.abc.Stream) -> None:
+    async def test_stream_of_an_unresponsive_engine_resumes_elsewhere(self) -> None:
+        # An engine stalls in mid-stream without closing. The stream must resume on
+        # another engine after the stall timeout, not at the deadline.
+        async def stall(stream: trio.abc.Stream) -> None:
             await stream.send_all(a_stream(1, 2, ends=False))
             await trio.sleep_forever()
 
-        engine = Upstream([fall_silent, a_stream(3, 4)])
+        engine = Upstream([stall, a_stream(3, 4)])
         async with a_router(e1=engine, e2=engine) as router:
             start = trio.current_time()
             caller = await router.ask("/long/7", x_prompt=PROMPT)
             self.assertTrue(caller.finished)
             self.assertLess(trio.current_time() - start, 1.5)
 
-    async def test_engine_that_falls_silent_with_a_large_prompt(self) -> None:
-        # An engine falls silent before the first token of a large prompt, which was
-        # expected to take over half a second. The caller must not wait for it until
-        # its deadline while another engine could read the prompt.
-        engine = Upstream([hang, a_stream(1, 2)])
+    async def test_engine_unresponsive_during_a_large_prefill(self) -> None:
+        # An engine stalls before the first token of a large prompt. The request must
+        # move to another engine before the deadline.
+        engine = Upstream([never_answer, a_stream(1, 2)])
         async with a_router(e1=engine, e2=engine) as router:
             start = trio.current_time()
             caller = await router.ask("/long/7", x_prompt="own:30000")
             self.assertTrue(caller.finished)
             self.assertLess(trio.current_time() - start, 3.0)
 
-    async def test_leaving_router_takes_no_stream_that_it_might_cut(self) -> None:
-        # A router was told to end three seconds ago and a caller's kept connection
-        # brings one more stream. It would be cut by the end of the process; refused at
-        # once, the caller gets it whole from another router.
+    async def test_draining_router_refuses_streams_that_it_might_cut(self) -> None:
+        # A stream on a kept connection would be cut by the end of the process, so it
+        # must be refused and the connection closed.
         async with a_router(e1=Upstream([a_stream(1, 2)])) as router:
             router.exchanges.closing = True
             self.assertTrue((await router.ask("/long/7", x_prompt=PROMPT)).finished)
@@ -345,8 +331,7 @@
             self.assertEqual(caller.answer_headers["connection"], "close")
 
     async def test_isolated_account_shares_no_cached_part(self) -> None:
-        # Two accounts send the same part. One is isolated: were the text under which
-        # engines share parts the same, one would use memory that the other has made.
+        # Guards against an isolated account sharing its cache scope with another one.
         engine = Upstream([a_stream(1, 1)])
         async with a_router(e1=engine) as router:
             await router.ask("/long/7", x_prompt=PROMPT)
@@ -354,7 +339,7 @@
             scopes = {sent["x-scope"] for sent in engine.requests}
             self.assertEqual(len(scopes), 2)
 
-    async def test_prompt_goes_where_its_parts_are(self) -> None:
+    async def test_prompt_is_sent_to_the_engine_that_caches_its_parts(self) -> None:
         engines = {name: Upstream([a_stream(1, 1)]) for name in ("e1", "e2", "e3")}
         async with a_router(**engines) as router:
             for n in range(6):
@@ -365,10 +350,9 @@
 
 
 class OverloadTest(TrioTestCase):
-    async def test_more_than_engines_can_read_is_refused_at_once(self) -> None:
-        # Twice as many tokens arrive as one engine can read within the objective. If
-        # all of them queued, nearly every first token would come late; the router
-        # serves what fits and tells the others at once when to come back.
+    async def test_requests_beyond_the_prefill_rate_are_refused_at_once(self) -> None:
+        # Twice as many tokens arrive as one engine can prefill. If all requests queued,
+        # nearly every first token would be late.
         async def read(stream: trio.abc.Stream) -> None:
             await reading.acquire()
             await trio.sleep(8_000 / 40_000)
@@ -398,14 +382,13 @@
                     await trio.sleep(0.1)
             statuses = [caller.status for caller in callers]
             self.assertEqual(set(statuses), {200, 503})
-            # The engine reads five of these a second, for four seconds.
+            # The engine prefills five of these prompts per second, for four seconds.
             self.assertGreaterEqual(statuses.count(200), 16)
             in_time = sum(seconds <= 1.0 for seconds in took)
             self.assertGreaterEqual(in_time, 0.9 * len(took))
 
-    async def test_deadline_of_a_route_that_got_shorter(self) -> None:
-        # The operator lowers a route's timeout. What hangs is answered by the new one.
-        async with a_router(s1=Upstream([hang])) as router:
+    async def test_shortened_timeout_of_a_route_applies(self) -> None:
+        async with a_router(s1=Upstream([never_answer])) as router:
             routes = tuple(
                 dataclasses.replace(route, timeout_s=0.5, max_attempts=1)
                 for route in ROUTES
@@ -416,26 +399,26 @@
             self.assertLess(trio.current_time() - start, 0.6)
 
 
-LIMIT_S = 10.0
-"""Age of replaced weights from which nothing may begin on them."""
+MAX_WEIGHTS_AGE_S = 10.0
+"""Age of replaced weights from which no request may begin on them."""
 
 
 class BeginTest(TrioTestCase):
-    """Requests that an engine takes in time and begins late."""
+    """Tests of requests that reach an engine in time but begin too late."""
 
     async def replace_weights(self, router: ForwardRouter) -> float:
-        """Name versions 1 and 2 and return when the second one was."""
-        router.limit_weights(LIMIT_S)
+        """Announce versions 1 and 2; return the time of the second announcement."""
+        router.limit_weights(MAX_WEIGHTS_AGE_S)
         router.name_weights(1)
         await trio.sleep(1)
         router.name_weights(2)
         return trio.current_time()
 
-    async def play(self, path: str) -> tuple[FakeCaller, list[float]]:
-        """Send a request to an engine that never begins it, late in the bound.
+    async def send_late_request(self, path: str) -> tuple[FakeCaller, list[float]]:
+        """Send a request to an engine that never begins it, close to the age limit.
 
-        Return the caller, and how long after the weights were replaced the engine saw
-        its connection close.
+        Return the caller, and the times from the replacement of the weights until the
+        engine's connections closed.
         """
         closed_after: list[float] = []
 
@@ -449,7 +432,7 @@
             old = an_instance("e1", "llm")
             router.list_instances(old, revision=21)
             replaced_at = await self.replace_weights(router)
-            nursery.start_soon(speak_elsewhere, router, old)
+            nursery.start_soon(keep_engine_responsive, router, old)
             await trio.sleep(7.5)
             caller = router.a_caller(path, x_prompt=PROMPT, x_deadline_s="15")
             nursery.start_soon(router.serve, caller)
@@ -460,23 +443,23 @@
             nursery.cancel_scope.cancel()
         return caller, closed_after
 
-    async def test_stream_that_waits_until_its_weights_are_too_old(self) -> None:
-        """Guards against a beginning after the bound where the estimate was short."""
-        caller, closed_after = await self.play("/long/7")
+    async def test_stream_is_withdrawn_before_its_weights_expire(self) -> None:
+        """Guards against a late begin when the estimate was too short."""
+        caller, closed_after = await self.send_late_request("/long/7")
         self.assertEqual(len(closed_after), 1)
-        self.assertLess(closed_after[0], LIMIT_S)
+        self.assertLess(closed_after[0], MAX_WEIGHTS_AGE_S)
         self.assertEqual((caller.status, caller.finished), (200, True))
 
-    async def test_single_run_that_waits_until_its_weights_are_too_old(self) -> None:
-        """Guards against the same, and against a second run or a false "not run"."""
-        caller, closed_after = await self.play("/quick/7")
+    async def test_single_run_is_withdrawn_before_its_weights_expire(self) -> None:
+        """Guards against a late begin, a second run and a false "not run"."""
+        caller, closed_after = await self.send_late_request("/quick/7")
         self.assertEqual(len(closed_after), 1)
-        self.assertLess(closed_after[0], LIMIT_S)
+        self.assertLess(closed_after[0], MAX_WEIGHTS_AGE_S)
         self.assertEqual(caller.status, 504)
 
-    async def test_engine_of_a_withdrawn_request_is_not_judged(self) -> None:
-        """Guards against an engine that is left alone because its weights got old."""
-        async with a_router(e1=Upstream([hang])) as router:
+    async def test_withdrawal_does_not_count_against_the_engine(self) -> None:
+        """Guards against avoiding an engine because its weights expired."""
+        async with a_router(e1=Upstream([never_answer])) as router:
             await self.replace_weights(router)
             await trio.sleep(7.5)
             caller = await router.ask("/quick/7", x_prompt=PROMPT, x_deadline_s="15")
@@ -486,19 +469,19 @@
             self.assertEqual(router.health.failure_rate(engine.life), 0.0)
 
     async def test_withdrawn_stream_without_another_engine(self) -> None:
-        """Guards against "not run" for what an engine may have begun just then."""
-        async with a_router(e1=Upstream([hang])) as router:
+        """Guards against "not run" for a request that the engine may have begun."""
+        async with a_router(e1=Upstream([never_answer])) as router:
             await self.replace_weights(router)
             await trio.sleep(7.5)
             async with trio.open_nursery() as nursery:
                 engine = router.state.instance("e1")
-                nursery.start_soon(speak_elsewhere, router, engine)
+                nursery.start_soon(keep_engine_responsive, router, engine)
                 caller = await router.ask("/long/7", x_prompt=PROMPT, x_deadline_s="15")
                 nursery.cancel_scope.cancel()
             self.assertIn(caller.status, (502, 504))
 
-    async def test_weights_that_are_replaced_while_a_request_waits(self) -> None:
-        """Guards against a bound that was looked up when the request was sent."""
+    async def test_weights_replaced_while_a_request_waits(self) -> None:
+        """Guards against an age limit that is computed once, at sending."""
         closed_at: list[float] = []
 
         async def wait_closed(stream: trio.abc.Stream) -> None:
@@ -509,7 +492,7 @@
         routes = tuple(dataclasses.replace(route, timeout_s=20.0) for route in ROUTES)
         async with a_router(e1=Upstream([wait_closed])) as router:
             router.configure(a_configuration(routes=routes, revision=11, version=2))
-            router.limit_weights(LIMIT_S)
+            router.limit_weights(MAX_WEIGHTS_AGE_S)
             router.name_weights(1)
             caller = router.a_caller("/quick/7", x_prompt=PROMPT, x_deadline_s="20")
             async with trio.open_nursery() as nursery:
@@ -518,10 +501,10 @@
                 router.name_weights(2)
                 named_at = trio.current_time()
             self.assertEqual(caller.status, 504)
-            self.assertLess(closed_at[0], named_at + LIMIT_S)
+            self.assertLess(closed_at[0], named_at + MAX_WEIGHTS_AGE_S)
 
-    async def test_router_without_a_bound_takes_weights_of_any_age(self) -> None:
-        """Guards against engines that are out of use where nothing bounds the age."""
+    async def test_router_without_an_age_limit_accepts_old_weights(self) -> None:
+        """Guards against excluding engines where no age limit is set."""
         async with a_router(e1=Upstream([a_stream(1, 3)])) as router:
             stored = router.decoder.put(NamedWeights(MODEL, 2), MODEL, 30)
             router.state.apply_listing(WEIGHTS, FeedListing((stored,), 30))
@@ -530,8 +513,10 @@
             self.assertEqual((caller.status, caller.finished), (200, True))
 
 
-async def speak_elsewhere(router: ForwardRouter, engine: ForwardInstance) -> None:
-    """Have an engine go on with the streams of others."""
+async def keep_engine_responsive(
+    router: ForwardRouter, engine: ForwardInstance
+) -> None:
+    """Simulate data from the engine on streams of other requests."""
     while True:
         router.health.heard(engine.life)
         await trio.sleep(0.1)
--- a/packages/corianderlb-router/tests/test_run_mover.py
+++ b/packages/corianderlb-router/tests/test_run_mover.py
@@ -1,4 +1,4 @@
-"""What callers get when the engine of a long answer is to load other weights."""
+"""Tests of moving a run whose engine is about to load other weights."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Copier(MemoryCopier):
-    """Copy in 20 ms, or as long and with what outcome a test wants."""
+    """Fake copier with a configurable duration and outcome."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.outcome = outcome
         self.takes_s = takes_s
         self.leaves = leaves
-        """Whether the engine with the copy leaves as the copy is made."""
+        """Whether the engine with the copy starts leaving during the copy."""
         self.router: ForwardRouter | None = None
         self.copies: list[tuple[str, str, str]] = []
         self.dropped: list[str] = []
@@ -56,20 +56,20 @@
         self.dropped.append(handle)
 
 
-async def begin_and_hang(stream: trio.abc.Stream) -> None:
-    """Send two events, and no more for as long as the run is left there."""
+async def begin_and_stall(stream: trio.abc.Stream) -> None:
+    """Send two events, then nothing until the connection is closed."""
     await stream.send_all(STREAM_HEAD + chunk(an_event(1)) + chunk(an_event(2)))
     await trio.sleep_forever()
 
 
-async def begin_and_end(stream: trio.abc.Stream) -> None:
-    """Send two events, and the last one a little later."""
+async def begin_and_finish(stream: trio.abc.Stream) -> None:
+    """Send two events, and the last one after a pause."""
     await stream.send_all(STREAM_HEAD + chunk(an_event(1)) + chunk(an_event(2)))
     await trio.sleep(0.3)
     await stream.send_all(chunk(an_event(3)) + b"0\r\n\r\n")
 
 
-async def go_on_slowly(stream: trio.abc.Stream) -> None:
+async def stream_slowly(stream: trio.abc.Stream) -> None:
     """Send an event each half second, six in all."""
     await stream.send_all(STREAM_HEAD)
     for number in range(1, 7):
@@ -79,18 +79,18 @@
 
 
 def shared(*script) -> Upstream:
-    """Return an upstream that is all engines at once, so that any may be first."""
+    """Return an upstream shared by all engines, so that any may be chosen first."""
     return Upstream(list(script))
 
 
 class RunMoverTest(TrioTestCase):
-    async def ask_and_empty(
+    async def request_and_empty(
         self,
         router: ForwardRouter,
         phase: EnginePhase = EnginePhase.EMPTYING,
         path: str = "/long/7",
     ) -> FakeCaller:
-        """Ask for a long answer and have its engine emptied in the middle of it."""
+        """Request a long answer and set its engine's phase in the middle of it."""
         caller = router.a_caller(path, x_prompt=PROMPT)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(router.serve, caller)
@@ -103,13 +103,13 @@
             router.board.weights.set_phase(engine, phase)
         return caller
 
-    async def test_answer_goes_on_where_its_memory_was_copied(self) -> None:
-        # An engine is to load weights in the middle of a long answer. The caller gets
-        # one whole answer; the engine is free for its load at once.
-        engine = shared(begin_and_hang, a_stream(3, 4))
+    async def test_answer_continues_on_the_engine_with_its_copy(self) -> None:
+        # The caller must get one complete answer, and the engine must become free
+        # for its load at once.
+        engine = shared(begin_and_stall, a_stream(3, 4))
         async with a_router(e1=engine, e2=engine) as router:
-            copier = router.copy_with(Copier())
-            caller = await self.ask_and_empty(router)
+            copier = router.use_copier(Copier())
+            caller = await self.request_and_empty(router)
             self.assertEqual(caller.answer.count(b"data:"), 4)
             first, again = engine.requests
             left, other = first["x-instance"], again["x-instance"]
@@ -118,63 +118,62 @@
             self.assertEqual(again["x-continue"], f"{left}:80/h7")
             self.assertEqual(again["x-after"], "2")
 
-    async def test_run_without_a_place_ends_where_it_is(self) -> None:
-        # No other engine has the weights that the answer began with. Cut off, its
-        # caller would lose it for nothing.
-        engine = shared(begin_and_end)
+    async def test_run_without_a_fallback_completes_on_its_engine(self) -> None:
+        # No other engine has the weights version that the answer began with; the run
+        # must not be cut off.
+        engine = shared(begin_and_finish)
         async with a_router(e1=engine) as router:
-            copier = router.copy_with(Copier())
-            caller = await self.ask_and_empty(router)
+            copier = router.use_copier(Copier())
+            caller = await self.request_and_empty(router)
             self.assertEqual(caller.answer.count(b"data:"), 3)
             self.assertEqual(copier.copies, [])
 
-    async def test_answer_that_may_not_be_resumed_is_left_alone(self) -> None:
-        engine = shared(begin_and_end)
+    async def test_answer_that_may_not_be_resumed_is_not_moved(self) -> None:
+        engine = shared(begin_and_finish)
         async with a_router(e1=engine, e2=engine) as router:
-            copier = router.copy_with(Copier())
-            caller = await self.ask_and_empty(router, path="/quick/7")
+            copier = router.use_copier(Copier())
+            caller = await self.request_and_empty(router, path="/quick/7")
             self.assertEqual(caller.answer.count(b"data:"), 3)
             self.assertEqual(copier.copies, [])
 
-    async def test_engine_without_room_for_the_copy(self) -> None:
-        # The other engines are full of long prompts and take no copy. Left where it is,
-        # the run would keep its engine from loading for as long as it lasts; it is
-        # read again elsewhere.
-        engine = shared(begin_and_hang, a_stream(3, 4))
+    async def test_engine_without_capacity_for_the_copy(self) -> None:
+        # No engine has the capacity for a copy. The run is prefilled again elsewhere,
+        # so that it does not delay the load until it completes.
+        engine = shared(begin_and_stall, a_stream(3, 4))
         async with a_router(e1=engine, e2=engine) as router:
-            copier = router.copy_with(Copier(CopyOutcome.NO_ROOM))
-            caller = await self.ask_and_empty(router)
+            copier = router.use_copier(Copier(CopyOutcome.NO_ROOM))
+            caller = await self.request_and_empty(router)
             self.assertEqual(caller.answer.count(b"data:"), 4)
             self.assertGreaterEqual(len(copier.copies), 1)
             self.assertNotIn("x-continue", engine.requests[1])
 
     async def test_copy_that_cannot_be_used_is_freed(self) -> None:
-        # The engine with the copy begins to leave. The copy would keep a place and
-        # memory there for nobody.
-        engine = shared(begin_and_end)
+        # The engine with the copy starts leaving; an unused copy must not occupy a
+        # slot and memory there.
+        engine = shared(begin_and_finish)
         async with a_router(e1=engine, e2=engine) as router:
-            copier = router.copy_with(Copier(leaves=True))
-            caller = await self.ask_and_empty(router)
+            copier = router.use_copier(Copier(leaves=True))
+            caller = await self.request_and_empty(router)
             self.assertEqual(caller.answer.count(b"data:"), 3)
             self.assertEqual(copier.dropped, ["h7"])
 
-    async def test_copy_that_is_gone_when_it_is_used(self) -> None:
-        # The engine with the copy has lost it and says that it ran nothing. The answer
-        # is read again from what its caller has, and is whole.
-        engine = shared(begin_and_hang, NOT_RUN, a_stream(3, 4))
+    async def test_copy_that_is_lost_before_it_is_used(self) -> None:
+        # The engine has lost the copy and refuses as not run. The run is prefilled
+        # again from the events sent so far, and the answer is complete.
+        engine = shared(begin_and_stall, NOT_RUN, a_stream(3, 4))
         async with a_router(e1=engine, e2=engine, e3=engine) as router:
-            router.copy_with(Copier())
-            caller = await self.ask_and_empty(router)
+            router.use_copier(Copier())
+            caller = await self.request_and_empty(router)
             self.assertEqual(caller.answer.count(b"data:"), 4)
             self.assertNotIn("x-continue", engine.requests[2])
             self.assertEqual(engine.requests[2]["x-after"], "2")
 
-    async def test_run_is_cleared_to_newer_weights(self) -> None:
-        # Its engine is the last with the old weights and is needed at once. What the
-        # caller has is read again by an engine with the newest weights.
-        engine = shared(begin_and_hang, a_stream(3, 4))
+    async def test_run_is_restarted_on_newer_weights(self) -> None:
+        # The engine is the last with the old weights and must be freed at once. The
+        # run is prefilled again on an engine with the newest weights.
+        engine = shared(begin_and_stall, a_stream(3, 4))
         async with a_router(e1=engine) as router:
-            copier = router.copy_with(Copier())
+            copier = router.use_copier(Copier())
             caller = router.a_caller("/long/7", x_prompt=PROMPT)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(router.serve, caller)
@@ -188,12 +187,12 @@
             self.assertEqual(copier.copies, [])
             self.assertNotIn("x-continue", engine.requests[1])
 
-    async def test_run_whose_copy_takes_until_its_weights_are_too_old(self) -> None:
-        """Guards against a run taken off for a place where it may not begin."""
-        engine = shared(go_on_slowly)
+    async def test_run_whose_weights_expire_during_the_copy(self) -> None:
+        """Guards against interrupting a run for an engine where it may not begin."""
+        engine = shared(stream_slowly)
         async with a_router(e1=engine, e2=engine) as router:
             router.limit_weights(10.0)
-            copier = router.copy_with(Copier(takes_s=0.8))
+            copier = router.use_copier(Copier(takes_s=0.8))
             router.name_weights(1)
             router.name_weights(2)
             await trio.sleep(7.5)
