--- a/packages/corianderlb-core/src/corianderlb_core/baseline_placement.py
+++ b/packages/corianderlb-core/src/corianderlb_core/baseline_placement.py
@@ -1,6 +1,6 @@
-"""Baseline policies, to measure the default beside and to fall back on.
+"""Baseline policies, for comparison with the default and as a fallback.
 
-Each looks at one thing alone: the turn, the load, or the home of a prefix.
+Each uses one criterion: rotation, load, or rendezvous hashing of a prefix.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RoundRobinPolicy(PlacementPolicy):
-    """Take the instances in turn; a baseline."""
+    """Rotate through the instances."""
 
     name: ClassVar = "round_robin"
 
@@ -27,23 +27,23 @@
         self._n_chosen = rng.randrange(1 << 16)
 
     def choose(self, query: PlacementQuery) -> tuple[Candidate, ...]:
-        """Return the instance whose turn it is, and those after it."""
+        """Return the next instances in rotation."""
         usable = query.usable()
         if not usable:
             return ()
         self._n_chosen += 1
         start = self._n_chosen % len(usable)
-        turn = (usable[start:] + usable[:start])[:N_CANDIDATES]
-        return tuple(_candidate(load, query, "its turn") for load in turn)
+        rotated = (usable[start:] + usable[:start])[:N_CANDIDATES]
+        return tuple(_candidate(load, query, "its turn") for load in rotated)
 
 
 class LeastLoadedPolicy(PlacementPolicy):
-    """Take the instance with the fewest requests; a baseline."""
+    """Choose the instance with the fewest requests."""
 
     name: ClassVar = "least_loaded"
 
     def choose(self, query: PlacementQuery) -> tuple[Candidate, ...]:
-        """Return the instances by requests reported and sent since."""
+        """Return the instances ordered by requests reported and sent since."""
         usable = query.usable()
         self.rng.shuffle(usable)
         usable.sort(key=InstanceLoad.n_outstanding)
@@ -54,7 +54,7 @@
 
 
 class HashOnlyPolicy(PlacementPolicy):
-    """Take the rendezvous home of one prefix, whatever its load; a baseline."""
+    """Choose the primary of one prefix, regardless of load."""
 
     name: ClassVar = "hash_only"
 
--- a/packages/corianderlb-core/src/corianderlb_core/heat.py
+++ b/packages/corianderlb-core/src/corianderlb_core/heat.py
@@ -1,11 +1,10 @@
-"""How hot each prefix is, and over how many instances it is spread for that.
-
-A prefix is spread over one instance until its homes are found busy. Then it is
-widened, up to what its share calls for: with a share ``s`` of an upstream's requests
-it may have ``SHARE_FACTOR * s * n`` of the ``n`` instances. Shares need no count of
-the whole fleet: each router sees the same ones, since the balancer spreads callers
-evenly. What a router found hot it also tells its peers, so that one that has just
-started spreads alike.
+"""Track how hot each prefix is and over how many instances it is spread (its width).
+
+A prefix has one primary until that is found busy. Then its width grows, up to a bound:
+with a share ``s`` of an upstream's requests it may be spread over ``SHARE_FACTOR * s *
+n`` of the ``n`` instances. Callers are balanced evenly over the routers, so each router
+observes about the same shares. Routers also send their widths to peers, so that a
+router that has just started spreads prefixes alike.
 """
 
 from __future__ import annotations
@@ -17,58 +16,60 @@
 from typing import Final
 
 SHORT_KEY_BYTES: Final = 8
-"""Bytes of a key that are sent to peers; a clash only spreads a prefix too widely."""
+"""Bytes of a key that are sent to peers; a collision only widens a prefix
+needlessly."""
 
 FAST_HALF_LIFE_S: Final = 1.0
-"""A shift shows in the fast counts within this time."""
+"""The fast counts follow a change of traffic within this time."""
 
 SLOW_HALF_LIFE_S: Final = 20.0
-"""The slow counts carry prefixes with few requests here."""
+"""The slow counts cover prefixes with few requests at this router."""
 
-HOLD_S: Final = 120.0
-"""How long a width stays after the heat that called for it is gone. Each narrowing
-moves some prompts to engines that must compute their pieces, so a prefix that comes
-and goes must not be narrowed in between."""
+NARROWING_DELAY_S: Final = 120.0
+"""Delay after the last pressure until a prefix is narrowed by one instance. Narrowing
+moves prompts to engines that must recompute their pieces, so a prefix with intermittent
+traffic must not be narrowed in between."""
 
 MAX_COUNTED: Final = 8192
-"""Prefixes counted at most; the least hot half goes when there are more."""
+"""Limit of counted prefixes; beyond it the less frequent half is dropped."""
 
 MAX_HOT: Final = 1024
-"""Prefixes held wide at most."""
+"""Limit of prefixes with a recorded width."""
 
 SHARE_FACTOR: Final = 4.0
-"""Instances of its share's worth that a prefix may be spread over. The next level
-divides them, so a wide prefix costs its own few pieces more often, while a narrow one
-lets the pieces below it crowd one cache out while others have room."""
+"""Factor from a prefix's share of requests to its share of instances. Longer prefixes
+divide the instances of a shorter one: a wide prefix costs more recomputation of its own
+pieces, a narrow one overfills one cache while others have capacity."""
 
-SAME_SHARE: Final = 0.8
-"""A longer prefix with this part of a shorter one's requests is widened with it."""
+MIN_COMMON_SHARE: Final = 0.8
+"""A longer prefix with at least this part of a shorter one's requests is widened with
+it."""
 
 PRESSURE_TO_WIDEN: Final = 2.5
-"""Requests that found busy homes within about a second before a prefix is widened."""
+"""Requests within about a second that must find busy primaries to widen a prefix."""
 
-_RESCALE_AT: Final = 230.0
+_RESCALE_EXPONENT: Final = 230.0
 """Exponent of a count's weight from which all counts are scaled down."""
 
-_FORGET_AT: Final = 700.0
-"""Exponent that a float still holds; counts that old are nothing either way."""
+_MAX_EXPONENT: Final = 700.0
+"""Largest exponent that a float holds."""
 
 _HOT: Final = struct.Struct(f">{SHORT_KEY_BYTES}sBB")
 
 
 @dataclass(frozen=True)
 class HotPrefix:
-    """Tell over how many instances a prefix is spread."""
+    """Number of instances over which a prefix is spread."""
 
     short_key: bytes
     width: int
     age_s: float
-    """Seconds since a router last found its homes busy; what is passed on ages, so
-    that two routers cannot keep a width alive by telling each other."""
+    """Seconds since a router last found its primaries busy. Forwarded entries keep
+    ageing, so that routers cannot keep a width alive by exchanging it."""
 
 
 def pack_hot(hot: Iterable[HotPrefix]) -> bytes:
-    """Return hot prefixes as bytes, ten each; ages are rounded up to seconds."""
+    """Return hot prefixes as bytes, ten bytes each; ages are rounded up to seconds."""
     return b"".join(
         _HOT.pack(item.short_key, min(item.width, 255), min(math.ceil(item.age_s), 255))
         for item in hot
@@ -76,7 +77,7 @@
 
 
 def unpack_hot(packed: bytes) -> tuple[HotPrefix, ...]:
-    """Return the hot prefixes in bytes; bytes that do not fit hold none."""
+    """Return the hot prefixes in bytes; none if the length is invalid."""
     if len(packed) % _HOT.size:
         return ()
     found = _HOT.iter_unpack(packed)
@@ -84,9 +85,9 @@
 
 
 class DecayedCounts:
-    """Count keys with exponentially fading weight, at one addition a key.
+    """Count keys with exponentially decaying weight, at one addition for each key.
 
-    New counts get growing weights in place of old ones shrinking (forward decay,
+    New counts get growing weights instead of old counts shrinking (forward decay,
     Cormode et al., 2009).
     """
 
@@ -101,10 +102,10 @@
     def add(self, keys: Sequence[bytes], now: float) -> None:
         """Count one request that has all the keys."""
         growth = (now - self._origin) * self._rate
-        if growth > _RESCALE_AT:
-            # Rescaled before the weight is worked out: after a long idle time, or on
-            # a clock that starts far from zero, it is too large for a float.
-            self._rescale(math.exp(min(growth, _FORGET_AT)))
+        if growth > _RESCALE_EXPONENT:
+            # Rescale before computing the weight: after a long idle time, or with a
+            # clock that starts far from zero, it would overflow.
+            self._rescale(math.exp(min(growth, _MAX_EXPONENT)))
             self._origin, growth = now, 0.0
         unit = math.exp(growth)
         self._unit = unit
@@ -118,8 +119,8 @@
     def share(self, key: bytes) -> float:
         """Return the share of requests with the key, less one standard deviation.
 
-        A few requests in a row are no heat yet; the deviation of a Poisson count keeps
-        them from widening a prefix.
+        Subtracting the deviation of a Poisson count keeps a few requests in a row from
+        widening a prefix.
         """
         count = self._counts.get(key, 0.0) / self._unit
         if count <= 1.0:
@@ -137,20 +138,20 @@
 
 
 @dataclass
-class _Held:
+class _WidthState:
     width: int
-    pressed_at: float
-    until: float
+    busy_at: float
+    narrow_at: float
     pressure: float = 0.0
 
 
 class PrefixHeat:
-    """Say over how many instances of one upstream each prefix is spread."""
+    """Decide over how many instances of one upstream each prefix is spread."""
 
     def __init__(self) -> None:
         self._fast = DecayedCounts(FAST_HALF_LIFE_S)
         self._slow = DecayedCounts(SLOW_HALF_LIFE_S)
-        self._held: dict[bytes, _Held] = {}
+        self._states: dict[bytes, _WidthState] = {}
 
     def observe(self, keys: Sequence[bytes], now: float) -> None:
         """Count a request."""
@@ -158,24 +159,26 @@
         self._slow.add(keys, now)
 
     def width(self, key: bytes, n_instances: int, now: float) -> int:
-        """Return the number of instances that the prefix is spread over, at least 1."""
+        """Return the number of instances for the prefix, at least 1."""
         short = key[:SHORT_KEY_BYTES]
-        held = self._held.get(short)
-        if held is None:
+        state = self._states.get(short)
+        if state is None:
             return 1
-        if now >= held.until:
-            held.width -= 1
-            held.until = now + HOLD_S
-            if held.width < 1:
-                del self._held[short]
-        return min(n_instances, max(1, held.width))
-
-    def press(self, keys: Sequence[bytes], n_instances: int, now: float) -> None:
-        """Take note that a request found its homes busy.
-
-        The shortest prefix that is narrower than its share calls for is widened, with
-        the longer ones that nearly all the same requests have. A prefix with a small
-        share is left alone: it is its neighbours that keep its home busy.
+        if now >= state.narrow_at:
+            state.width -= 1
+            state.narrow_at = now + NARROWING_DELAY_S
+            if state.width < 1:
+                del self._states[short]
+        return min(n_instances, max(1, state.width))
+
+    def record_pressure(
+        self, keys: Sequence[bytes], n_instances: int, now: float
+    ) -> None:
+        """Record that a request found its primaries busy.
+
+        Widens the shortest prefix that is below the bound of its share, with the longer
+        ones that nearly all of its requests have. A prefix with a small share is not
+        widened: other prefixes keep its primary busy.
         """
         shares = [max(self._fast.share(key), self._slow.share(key)) for key in keys]
         target = 0
@@ -184,61 +187,63 @@
             bound = min(n_instances, math.ceil(share * n_instances * SHARE_FACTOR))
             width = self.width(key, n_instances, now)
             if not target and width >= bound:
-                self._keep(key, now)
+                self._postpone_narrowing(key, now)
                 continue
             if not target:
                 target, first_share = width + 1, share
-            elif bound < target or share < SAME_SHARE * first_share:
+            elif bound < target or share < MIN_COMMON_SHARE * first_share:
                 return
-            self._press_one(key, target, now)
+            self._add_pressure(key, target, now)
 
-    def _keep(self, key: bytes, now: float) -> None:
-        """Put narrowing off while the prefix finds its homes busy."""
-        held = self._held.get(key[:SHORT_KEY_BYTES])
-        if held is not None:
-            held.pressed_at = now
-            held.until = now + HOLD_S
+    def _postpone_narrowing(self, key: bytes, now: float) -> None:
+        """Postpone narrowing while the prefix finds its primaries busy."""
+        state = self._states.get(key[:SHORT_KEY_BYTES])
+        if state is not None:
+            state.busy_at = now
+            state.narrow_at = now + NARROWING_DELAY_S
 
-    def _press_one(self, key: bytes, target: int, now: float) -> None:
+    def _add_pressure(self, key: bytes, target: int, now: float) -> None:
         short = key[:SHORT_KEY_BYTES]
-        held = self._held.get(short)
-        if held is None:
-            held = self._hold(short, now)
-        fade = 0.5 ** ((now - held.pressed_at) / FAST_HALF_LIFE_S)
-        held.pressure = held.pressure * fade + 1.0
-        held.pressed_at = now
-        held.until = now + HOLD_S
-        if held.pressure > PRESSURE_TO_WIDEN:
-            held.pressure = 0.0
-            held.width = max(held.width, target)
-
-    def hear(self, hot: Iterable[HotPrefix], now: float) -> None:
-        """Take what a peer found hot; the wider of both views holds."""
+        state = self._states.get(short)
+        if state is None:
+            state = self._add_state(short, now)
+        decay = 0.5 ** ((now - state.busy_at) / FAST_HALF_LIFE_S)
+        state.pressure = state.pressure * decay + 1.0
+        state.busy_at = now
+        state.narrow_at = now + NARROWING_DELAY_S
+        if state.pressure > PRESSURE_TO_WIDEN:
+            state.pressure = 0.0
+            state.width = max(state.width, target)
+
+    def merge(self, hot: Iterable[HotPrefix], now: float) -> None:
+        """Merge the hot prefixes of a peer; the larger width wins."""
         for item in hot:
-            pressed_at = now - item.age_s
-            held = self._held.get(item.short_key)
-            if held is None and item.age_s < HOLD_S:
-                held = self._hold(item.short_key, pressed_at)
-            if held is None or item.width < held.width:
+            busy_at = now - item.age_s
+            state = self._states.get(item.short_key)
+            if state is None and item.age_s < NARROWING_DELAY_S:
+                state = self._add_state(item.short_key, busy_at)
+            if state is None or item.width < state.width:
                 continue
-            if item.width > held.width or pressed_at > held.pressed_at:
-                held.width = item.width
-                held.pressed_at = max(held.pressed_at, pressed_at)
-                held.until = held.pressed_at + HOLD_S
+            if item.width > state.width or busy_at > state.busy_at:
+                state.width = item.width
+                state.busy_at = max(state.busy_at, busy_at)
+                state.narrow_at = state.busy_at + NARROWING_DELAY_S
 
     def hottest(self, limit: int, now: float) -> tuple[HotPrefix, ...]:
-        """Return the prefixes that were found hot last, for peers."""
+        """Return the prefixes most recently found hot, to send to peers."""
         found = [
-            HotPrefix(key, held.width, now - held.pressed_at)
-            for key, held in self._held.items()
-            if held.width > 1 and now - held.pressed_at < HOLD_S
+            HotPrefix(key, state.width, now - state.busy_at)
+            for key, state in self._states.items()
+            if state.width > 1 and now - state.busy_at < NARROWING_DELAY_S
         ]
         found.sort(key=lambda item: (item.age_s, -item.width))
         return tuple(found[:limit])
 
-    def _hold(self, short: bytes, now: float) -> _Held:
-        if len(self._held) >= MAX_HOT:
-            # The one that would be narrowed first is the least hot.
-            del self._held[min(self._held, key=lambda key: self._held[key].until)]
-        held = self._held[short] = _Held(1, now, now + HOLD_S)
-        return held
+    def _add_state(self, short: bytes, now: float) -> _WidthState:
+        if len(self._states) >= MAX_HOT:
+            # Evict the prefix that would be narrowed first.
+            del self._states[
+                min(self._states, key=lambda key: self._states[key].narrow_at)
+            ]
+        state = self._states[short] = _WidthState(1, now, now + NARROWING_DELAY_S)
+        return state
--- a/packages/corianderlb-core/src/corianderlb_core/hint.py
+++ b/packages/corianderlb-core/src/corianderlb_core/hint.py
@@ -1,9 +1,9 @@
-"""What upstreams said about their caches: hints, never needed for an answer.
+"""Hints about which engines hold which pieces, from answers and cache events.
 
-A hint belongs to one incarnation and one prefix key, and the key holds the client
-account and the weights version. So a hint can mislead about time only: whatever is
-sent, the engine itself looks the key up. Engines evict within seconds, so hints age,
-at a pace that the answers of each incarnation teach.
+A hint belongs to one incarnation and one prefix key, and the key covers the client
+account and the weights version. The engine looks up the key itself, so a wrong hint
+only costs time. Engines evict within seconds, so hints lose confidence with age, at a
+rate learned from the answers of each incarnation.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from .identity import Incarnation
 
 MAX_HINTS: Final = 16384
-"""Hints kept over all incarnations; the one not renewed for longest goes first."""
+"""Limit over all incarnations; the least recently renewed hint is evicted first."""
 
-FIRST_LIFETIME_S: Final = 60.0
-"""Age at which a hint counts half, until the answers taught better."""
+INITIAL_LIFETIME_S: Final = 60.0
+"""Age at which the confidence in a hint is one half, before any answer is observed."""
 
 MIN_LIFETIME_S: Final = 0.5
 MAX_LIFETIME_S: Final = 3600.0
 
-_NOBODY: Final[Mapping[Incarnation, float]] = {}
+_NO_HOLDERS: Final[Mapping[Incarnation, float]] = {}
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """Tell that an engine stored or evicted a piece."""
+    """An engine stored or evicted a piece."""
 
     seq: int
     key: bytes
@@ -37,7 +37,7 @@
 
 
 class HintTable:
-    """Remember which incarnation was last known to hold which prefix."""
+    """Table of the incarnations last known to hold each prefix."""
 
     def __init__(self, max_hints: int = MAX_HINTS) -> None:
         self._max_hints = max_hints
@@ -47,40 +47,41 @@
         self._lifetime_s: dict[Incarnation, float] = {}
         self._next_seq: dict[Incarnation, int] = {}
         self.n_gaps = 0
-        """Gaps in event streams, each of which emptied the hints of a life."""
+        """Gaps in event streams, each of which cleared the hints of an incarnation."""
 
     def __len__(self) -> int:
         return len(self._order)
 
     def holders(self, key: bytes) -> Mapping[Incarnation, float]:
-        """Return the lives that were said to hold a prefix, with the time of it."""
-        return self._holders.get(key, _NOBODY)
+        """Return the incarnations that hold a prefix, with the time of the report."""
+        return self._holders.get(key, _NO_HOLDERS)
 
-    def trust(self, incarnation: Incarnation, said_at: float, now: float) -> float:
-        """Return the chance that what was said at a time still holds."""
-        lifetime_s = self._lifetime_s.get(incarnation, FIRST_LIFETIME_S)
-        return 0.5 ** ((now - said_at) / lifetime_s)
+    def confidence(
+        self, incarnation: Incarnation, reported_at: float, now: float
+    ) -> float:
+        """Return the probability that a hint from the given time still holds."""
+        lifetime_s = self._lifetime_s.get(incarnation, INITIAL_LIFETIME_S)
+        return 0.5 ** ((now - reported_at) / lifetime_s)
 
     def answered(
         self, incarnation: Incarnation, keys: Sequence[bytes], n_hits: int, now: float
     ) -> None:
-        """Learn from an answer that used the first ``n_hits`` pieces from the cache.
+        """Update the hints from an answer that had ``n_hits`` leading pieces cached.
 
         Once it has answered, the engine holds all of the prompt's pieces.
         """
-        self._learn_lifetime(incarnation, keys, n_hits, now)
+        self._update_lifetime(incarnation, keys, n_hits, now)
         for key in keys:
             self._put(key, incarnation, now)
 
     def take_events(
         self, incarnation: Incarnation, events: Sequence[CacheEvent], now: float
     ) -> None:
-        """Take cache events in their order.
+        """Apply cache events in their order.
 
-        Events get lost. With one missing, an eviction may be among the lost, and the
-        hints would go on naming pieces that are gone: requests would be sent to wait
-        there and then pay for the pieces again. So a jump in the sequence empties the
-        hints of that life. A repeated event says nothing new.
+        Events can be lost, and a lost event may be an eviction: requests would then be
+        queued at an engine for pieces that it no longer holds. So a gap in the sequence
+        clears the hints of the incarnation. Repeated events are ignored.
         """
         for event in events:
             expected = self._next_seq.get(incarnation)
@@ -96,15 +97,15 @@
                 self._remove(event.key, incarnation)
 
     def forget(self, incarnation: Incarnation) -> None:
-        """Drop everything about a life that ended."""
+        """Drop all state of an incarnation that ended."""
         self._drop_hints(incarnation)
         self._lifetime_s.pop(incarnation, None)
         self._next_seq.pop(incarnation, None)
 
-    def _learn_lifetime(
+    def _update_lifetime(
         self, incarnation: Incarnation, keys: Sequence[bytes], n_hits: int, now: float
     ) -> None:
-        lifetime_s = self._lifetime_s.get(incarnation, FIRST_LIFETIME_S)
+        lifetime_s = self._lifetime_s.get(incarnation, INITIAL_LIFETIME_S)
         evicted_at = held_at = None
         if n_hits < len(keys):
             evicted_at = self.holders(keys[n_hits]).get(incarnation)
--- a/packages/corianderlb-core/src/corianderlb_core/placement.py
+++ b/packages/corianderlb-core/src/corianderlb_core/placement.py
@@ -1,8 +1,8 @@
 """The policy interface: rank the instances of an upstream for a request.
 
-A policy is pure: the instances, the time and the random source are handed in. It
-returns the best candidates first; the caller dispatches to the first and goes on to
-the next when that one refuses.
+The instances, the time and the random source are passed in. A policy returns the best
+candidates first; the caller dispatches to the first and falls back to the next when it
+is refused.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from .settings import PlacementSettings
 
 N_CANDIDATES: Final = 4
-"""How many candidates a ranking names; retries seldom go further."""
+"""Candidates in a ranking; retries seldom need more."""
 
 N_CHOICES: Final = 2
-"""Random choices among near-equal instances; two are enough to avoid a herd."""
+"""Random choices among near-equal instances; two avoid a thundering herd."""
 
 
 @dataclass(frozen=True)
 class ModelCost:
-    """Hold what a piece costs an engine, in seconds; zero for a plain service."""
+    """Cost of a piece at an engine, in seconds; zero for a plain service."""
 
     prefill_s_per_piece: float = 0.0
     import_s_per_piece: float | None = None
@@ -42,13 +42,13 @@
         return cls(model.prefill_s_per_piece, can_import)
 
     def work_s(self, n_missing: float) -> float:
-        """Return the engine seconds that computing the missing pieces takes."""
+        """Return the seconds that an engine takes to compute the missing pieces."""
         return n_missing * self.prefill_s_per_piece
 
 
 @dataclass(frozen=True)
 class PlacementQuery:
-    """Hold one question to a policy."""
+    """A request to place and the state that the policy decides on."""
 
     facts: RequestFacts
     instances: InstanceSet
@@ -57,10 +57,10 @@
     model: Model | None = None
     """The catalogue's model; None for a plain service."""
     avoid: Collection[InstanceId] = ()
-    """Instances that the request must not be sent to, such as those it was tried on."""
+    """Instances to exclude, such as those that were already tried."""
 
     def usable(self) -> list[InstanceLoad]:
-        """Return the instances that need not be avoided."""
+        """Return the instances that are not excluded."""
         if not self.avoid:
             return list(self.instances.instances)
         return [
@@ -70,9 +70,9 @@
         ]
 
     def is_ready(self, load: InstanceLoad) -> bool:
-        """Tell whether the newest report allows that the wanted weights are loaded.
+        """Return whether the newest report is consistent with the required weights.
 
-        The engine has the last word: it refuses, not run, what expects others.
+        The engine decides: it refuses requests that expect other weights.
         """
         if self.model is None or load.report is None or load.report.weights is None:
             return True
@@ -83,7 +83,7 @@
     """Rank the instances of an upstream for a request."""
 
     name: ClassVar[str]
-    """The word that settings choose it by."""
+    """Name of the policy in the settings."""
 
     def __init__(
         self, cfg: PlacementSettings, rng: random.Random, zone: str = ""
@@ -98,27 +98,27 @@
         """Return candidates, best first; none when no instance is usable."""
 
     def dispatched(self, facts: RequestFacts, candidate: Candidate, now: float) -> None:
-        """Take note that the request goes to the candidate; override to learn."""
+        """Record that the request is sent to the candidate; does nothing by default."""
 
     def first_token(self, facts: RequestFacts, waited_s: float, now: float) -> None:
-        """Take note of the wait before a prefill began; override to learn."""
+        """Record the wait before a prefill began; does nothing by default."""
 
     def answered(
         self, facts: RequestFacts, outcome: AttemptOutcome, now: float
     ) -> None:
-        """Take note of what an attempt showed; override to learn."""
+        """Record the outcome of an attempt; does nothing by default."""
 
     def imported(
         self, facts: RequestFacts, n_asked: int, n_imported: int, now: float
     ) -> None:
-        """Take note of what an import order brought; override to learn."""
+        """Record the result of an import order; does nothing by default."""
 
     def forget(self, incarnation: Incarnation) -> None:
-        """Drop what is known about a life that ended; override to learn."""
+        """Drop the state of an incarnation that ended; does nothing by default."""
 
     def hottest(self, upstream: str, limit: int, now: float) -> tuple[HotPrefix, ...]:
-        """Return the hot prefixes of an upstream, for peers; override to tell."""
+        """Return the hot prefixes of an upstream, to send to peers; none by default."""
         return ()
 
     def hear_hot(self, upstream: str, hot: Iterable[HotPrefix], now: float) -> None:
-        """Take what a peer found hot; override to learn."""
+        """Merge the hot prefixes of a peer; does nothing by default."""
--- a/packages/corianderlb-core/src/corianderlb_core/placement_registry.py
+++ b/packages/corianderlb-core/src/corianderlb_core/placement_registry.py
@@ -1,4 +1,4 @@
-"""Choose a placement policy by the word that settings name it by."""
+"""Choose a placement policy by its name in the settings."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
         for cls in (DefaultPolicy, RoundRobinPolicy, LeastLoadedPolicy, HashOnlyPolicy)
     }
 )
-"""The policies by the word that chooses them."""
+"""The policies by name."""
 
 
 class UnknownPolicyError(InvalidInputError):
-    """Signal settings that name no policy."""
+    """The settings name an unknown policy."""
 
     code = ResultCode.SETTINGS_INVALID
 
--- a/packages/corianderlb-core/tests/placement_cost.py
+++ b/packages/corianderlb-core/tests/placement_cost.py
@@ -1,7 +1,7 @@
 """Print the microseconds that one decision of the default policy takes.
 
 Run it as a script: ``python placement_cost.py``. Prompts have 12 pieces; half of them
-come again and again, which is when hints and kept rankings are of use.
+are repeated, to exercise hints and cached rankings.
 """
 
 from __future__ import annotations
--- a/packages/corianderlb-core/tests/placement_trial.py
+++ b/packages/corianderlb-core/tests/placement_trial.py
@@ -1,9 +1,8 @@
-"""Drive placement policies against a few imitated engines, without sockets.
+"""Simulate placement policies on a few engines, without sockets.
 
-Several routers, each with a policy and a lagging view of its own, place a workload of
-nested prefixes on engines that prefill one request after the other and cache pieces in
-an LRU. Run it as a script for a table: ``python placement_trial.py [seeds]
-[policies]``.
+Several routers, each with a policy and a delayed view of its own, place a workload of
+nested prefixes on engines that prefill one request at a time and cache pieces in an
+LRU. Run it as a script for a table: ``python placement_trial.py [seeds] [policies]``.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Describe a workload, the engines and what happens to them."""
+    """A workload, the engines and the faults to simulate."""
 
     name: str = "steady"
     n_engines: int = 5
@@ -42,9 +41,9 @@
     cache_pieces: int = 128
     rate: float = 14.0
     n_sites: tuple[int, ...] = (12, 8, 3, 3, 3, 3, 3, 3)
-    """Sites of each client account; the first two are large."""
+    """Sites of each client account; the first two accounts are large."""
     weights: tuple[float, ...] = (6, 4, 1, 1, 1, 1, 1, 1)
-    """Traffic of each client account."""
+    """Relative traffic of each client account."""
     seconds: float = 120.0
     warm_s: float = 30.0
     """Requests that arrive before this are not measured."""
@@ -52,11 +51,11 @@
     prefill_s: float = 0.1
     token_s: float = 0.02
     batch_s: float = 10.0
-    """A site begins a batch this often; the newest four are asked for."""
+    """Interval at which a site begins a batch; requests are for the newest four."""
     shift_at: float = -1.0
-    """When one site of a small account takes half of the traffic."""
+    """When one site of a small account starts to receive half of the traffic."""
     crash_at: float = -1.0
-    """When an engine comes back empty."""
+    """When an engine restarts with an empty cache."""
 
 
 @dataclass(order=True)
@@ -70,14 +69,14 @@
 
 
 class _Engine:
-    """Prefill serially by priority, decode on slots, keep an LRU of pieces."""
+    """Prefill serially by priority, decode in slots, keep an LRU of pieces."""
 
     N_SLOTS: Final = 8
     BASE_S: Final = 0.005
 
     def __init__(self, trial: Trial, name: str) -> None:
         self.trial = trial
-        self.life = Incarnation(name, 1)
+        self.incarnation = Incarnation(name, 1)
         self.queue: list[_Job] = []
         self.cache: OrderedDict[bytes, None] = OrderedDict()
         self.n_running = 0
@@ -125,32 +124,36 @@
     def report(self) -> LoadReport:
         queued_s = sum(self.prefill_s(job) for job in self.queue)
         return LoadReport(
-            self.life.epoch, self.n_running, len(self.queue), queued_s, len(self.cache)
+            self.incarnation.epoch,
+            self.n_running,
+            len(self.queue),
+            queued_s,
+            len(self.cache),
         )
 
 
 class _Router:
-    """Place with a policy on a view of its own."""
+    """A router that places with a policy on its own view."""
 
     def __init__(self, policy: PlacementPolicy, engines: list[_Engine]) -> None:
         self.policy = policy
         self.engines = engines
-        self.renew(0)
+        self.rebuild(0)
 
-    def renew(self, generation: int) -> None:
-        loads = [InstanceLoad(engine.life) for engine in self.engines]
+    def rebuild(self, generation: int) -> None:
+        loads = [InstanceLoad(engine.incarnation) for engine in self.engines]
         self.view = InstanceSet.of(UPSTREAM, generation, loads)
 
-    def load_of(self, life: Incarnation) -> InstanceLoad | None:
-        load = self.view.by_name[life.instance]
-        return load if load.incarnation == life else None
+    def load_of(self, incarnation: Incarnation) -> InstanceLoad | None:
+        load = self.view.by_name[incarnation.instance]
+        return load if load.incarnation == incarnation else None
 
 
 @dataclass
 class Result:
-    """Hold what a run showed."""
+    """Measurements of a simulation."""
 
-    n_asked: int = 0
+    n_pieces: int = 0
     n_hits: int = 0
     n_wasted: int = 0
     """Pieces computed although some engine had computed them before."""
@@ -160,11 +163,11 @@
 
     @property
     def hit_rate(self) -> float:
-        return self.n_hits / max(1, self.n_asked)
+        return self.n_hits / max(1, self.n_pieces)
 
     @property
     def n_recomputed(self) -> int:
-        return self.n_asked - self.n_hits
+        return self.n_pieces - self.n_hits
 
     def quantile(self, cls: ServiceClass, share: float) -> float:
         ordered = sorted(self.ttft_s[cls])
@@ -172,7 +175,7 @@
 
 
 class Trial:
-    """Run one scenario with one policy and one seed."""
+    """Simulate one scenario with one policy and one seed."""
 
     def __init__(self, scenario: Scenario, policy: str, seed: int) -> None:
         self.scenario = scenario
@@ -190,29 +193,33 @@
         self.computed: set[bytes] = set()
         self.cost = ModelCost(scenario.prefill_s)
 
-    def at(self, delay_s: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now + delay_s, next(self._n_events), act))
+    def at(self, delay_s: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(
+            self._events, (self.now + delay_s, next(self._n_events), callback)
+        )
 
     def run(self) -> Result:
-        """Run to the end of the scenario and return what it showed."""
+        """Run to the end of the scenario and return the measurements."""
         self.arrive()
         self.report()
-        self.spread_heat()
+        self.exchange_heat()
         if self.scenario.crash_at > 0:
             self.at(self.scenario.crash_at, self.crash)
         while self._events and self.now < self.scenario.seconds:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         return self.result
 
     def crash(self) -> None:
-        """Empty an engine's cache; its queue goes on, which keeps the count."""
+        """Empty an engine's cache; its queue is kept, so that no request is lost."""
         engine = self.engines[0]
-        engine.life = Incarnation(engine.life.instance, engine.life.epoch + 1)
+        engine.incarnation = Incarnation(
+            engine.incarnation.instance, engine.incarnation.epoch + 1
+        )
         engine.cache.clear()
         for router in self.routers:
-            router.policy.forget(Incarnation(engine.life.instance, 1))
-            router.renew(1)
+            router.policy.forget(Incarnation(engine.incarnation.instance, 1))
+            router.rebuild(1)
 
     def report(self) -> None:
         made_at = self.now
@@ -220,24 +227,26 @@
             report = engine.report()
             self.at(
                 self.scenario.report_lag_s,
-                lambda e=engine, r=report: self.hear(e, r, made_at),
+                lambda e=engine, r=report: self.deliver_report(e, r, made_at),
             )
         self.at(0.25, self.report)
 
-    def hear(self, engine: _Engine, report: LoadReport, made_at: float) -> None:
+    def deliver_report(
+        self, engine: _Engine, report: LoadReport, made_at: float
+    ) -> None:
         for router in self.routers:
-            load = router.view.by_name[engine.life.instance]
+            load = router.view.by_name[engine.incarnation.instance]
             load.take_report(report, made_at, self.now)
 
-    def spread_heat(self) -> None:
-        """Give each router's hot prefixes to the others, once a second."""
+    def exchange_heat(self) -> None:
+        """Send each router's hot prefixes to the others, once a second."""
         policies = [router.policy for router in self.routers]
         hot: list[HotPrefix] = []
         for policy in policies:
             hot += policy.hottest(UPSTREAM, 32, self.now)
         for policy in policies:
             policy.hear_hot(UPSTREAM, hot, self.now)
-        self.at(1.0, self.spread_heat)
+        self.at(1.0, self.exchange_heat)
 
     def arrive(self) -> None:
         self.at(self.rng.expovariate(self.scenario.rate), self.arrive)
@@ -249,7 +258,9 @@
         load.dispatched(facts.request_id, candidate.work_s, self.now)
         router.policy.dispatched(facts, candidate, self.now)
         engine = next(
-            e for e in self.engines if e.life.instance == candidate.incarnation.instance
+            e
+            for e in self.engines
+            if e.incarnation.instance == candidate.incarnation.instance
         )
         order = (CLASSES.index(facts.service_class), next(self._n_events))
         n_tokens = {0: 10, 1: 25, 2: 50}[order[0]]
@@ -276,13 +287,13 @@
         )  # fmt: skip
 
     def first_token(self, engine: _Engine, job: _Job) -> None:
-        life = job.candidate.incarnation
-        load = job.router.load_of(life)
+        incarnation = job.candidate.incarnation
+        load = job.router.load_of(incarnation)
         if load is not None:
             waited_s = load.first_token(job.facts.request_id, self.now)
             job.router.policy.first_token(job.facts, waited_s, self.now)
         if job.facts.arrived_at >= self.scenario.warm_s:
-            self.result.n_asked += len(job.facts.prefix_keys)
+            self.result.n_pieces += len(job.facts.prefix_keys)
             self.result.n_hits += job.n_hits
             missing = job.facts.prefix_keys[job.n_hits :]
             self.result.n_wasted += sum(key in self.computed for key in missing)
@@ -291,12 +302,12 @@
         self.computed.update(job.facts.prefix_keys)
 
     def done(self, engine: _Engine, job: _Job) -> None:
-        life = job.candidate.incarnation
-        load = job.router.load_of(life)
+        incarnation = job.candidate.incarnation
+        load = job.router.load_of(incarnation)
         if load is not None:
             load.finished(job.facts.request_id, self.now)
         outcome = AttemptOutcome(
-            life, ResultCode.OK, 0.0, job.n_hits * 10, 85, self.now
+            incarnation, ResultCode.OK, 0.0, job.n_hits * 10, 85, self.now
         )
         job.router.policy.answered(job.facts, outcome, self.now)
 
@@ -333,19 +344,19 @@
         for seed, name in itertools.product(range(n_seeds), policies):
             one = Trial(scenario, name, seed).run()
             total = totals[name]
-            total.n_asked += one.n_asked
+            total.n_pieces += one.n_pieces
             total.n_hits += one.n_hits
             total.n_wasted += one.n_wasted
             for cls, values in one.ttft_s.items():
                 total.ttft_s[cls] += values
         for name, total in totals.items():
             urgent = ServiceClass.URGENT
-            everyone = sorted(sum(total.ttft_s.values(), []))
+            all_ttft_s = sorted(sum(total.ttft_s.values(), []))
             sys.stdout.write(
                 f"{scenario.name:17}{name:13}{total.hit_rate:.3f}"
                 f"{total.n_recomputed:7}{total.n_wasted:7}  "
                 f"{total.quantile(urgent, 0.5):.3f} {total.quantile(urgent, 0.99):.3f} "
-                f"{everyone[int(0.99 * len(everyone))]:.3f}\n"
+                f"{all_ttft_s[int(0.99 * len(all_ttft_s))]:.3f}\n"
             )
 
 
--- a/packages/corianderlb-core/tests/test_placement_trial.py
+++ b/packages/corianderlb-core/tests/test_placement_trial.py
@@ -1,4 +1,4 @@
-"""Test the default policy beside the baselines on imitated engines."""
+"""Compare the default policy with the baselines on simulated engines."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class TestPlacementTrial(unittest.TestCase):
-    """Shared prompts are computed seldom, without long queues in return."""
+    """The default policy recomputes little without long queues."""
 
     def test_fewer_pieces_than_without_regard_to_prefixes(self):
-        """Prompts that meet an engine without their pieces are paid for again."""
+        """Guards against sending prompts to engines without their pieces."""
         for scenario in ("steady", "hot shift"):
             ours = run(scenario, "default")
             for baseline in ("round_robin", "least_loaded"):
@@ -34,9 +34,9 @@
                 )
 
     def test_large_account_does_not_overrun_its_home(self):
-        """One account sends most of the traffic and its home is a single engine.
+        """Guards against overloading the primary of an account with much traffic.
 
-        By the hash alone its callers wait there while the other engines idle.
+        With hashing alone its callers wait there while the other engines idle.
         """
         ours, other = run("skewed", "default"), run("skewed", "hash_only")
         self.assertLess(ours.n_recomputed, other.n_recomputed)
