--- a/packages/corianderlb-core/src/corianderlb_core/forwarding.py
+++ b/packages/corianderlb-core/src/corianderlb_core/forwarding.py
@@ -1,8 +1,8 @@
 """The configuration of byte-transparent forwarding: routes, accounts, upstreams.
 
-It is the counterpart of the catalogue for deployments whose operator keeps one whole
-document of routes: a request is matched by host and path, its account by an API key,
-and both decide what may be repeated, how long it may take and where it may run.
+It is the counterpart of the catalogue for deployments that keep all routes in one
+document. A request is matched to a route by host and path, and to an account by an API
+key; both determine retries, timeouts and the upstreams that may run it.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 class RepeatKind(Enum):
-    """Say how often the upstreams may run one request."""
+    """How often the upstreams may run one request."""
 
     IDEMPOTENT = "idempotent"
     """It may run again after any failure."""
     AT_MOST_ONCE = "at_most_once"
-    """It runs once; it is sent again only when it surely has not run."""
+    """It runs once; it is sent again only when it certainly has not run."""
     STREAM = "stream"
-    """A stream of events: at most once, unless its route allows to resume it."""
+    """A stream of events: at most once, unless its route allows resuming."""
 
 
 @dataclass(frozen=True)
 class UpstreamShare:
-    """Hold one upstream of a route and its part of the requests."""
+    """One upstream of a route and its share of the requests."""
 
     upstream: str
     weight: float = 1.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class ForwardRoute:
-    """Hold one route."""
+    """A route, matched by host and path prefix."""
 
     name: str
     host: str
@@ -48,20 +48,20 @@
     """Begins and ends with a slash."""
     kind: RepeatKind
     timeout_s: float
-    """Longest time a request may be kept waiting for its whole answer."""
+    """Longest time a request may wait for its whole answer."""
     objective_s: float
     """Latency objective: of the whole answer, or of a stream's first event."""
     shares: tuple[UpstreamShare, ...]
     max_attempts: int = 1
-    """Upstream instances that may run one request."""
+    """Maximum number of upstream instances that may run one request."""
     priority: int = MIN_PRIORITY
     """0 is the most urgent."""
     is_public: bool = False
-    """True when no API key is asked for."""
+    """True when no API key is required."""
     pause_objective_s: float = math.inf
-    """Longest pause between two events of a stream that is still in time."""
+    """Longest pause between two events of a stream that still meets the objective."""
     may_resume: bool = False
-    """True when a broken stream may go on at another instance."""
+    """True when a broken stream may continue at another instance."""
 
     @property
     def is_repeatable(self) -> bool:
@@ -71,46 +71,46 @@
 
 @dataclass(frozen=True)
 class ForwardAccount:
-    """Hold one client account as forwarding needs it."""
+    """A client account as used by forwarding."""
 
     name: str
     key_digests: tuple[bytes, ...]
     priority: int | None = None
-    """Goes before the route's priority where it is set."""
+    """Overrides the route's priority when set."""
     is_isolated: bool = False
     """True when it shares no cached prompt part with any other account."""
 
 
 @dataclass(frozen=True)
 class EngineTraits:
-    """Hold what the configuration tells of the engines of an upstream."""
+    """Properties of an upstream's engines from the configuration."""
 
     slots: int
     """Requests that run at once."""
     kv_capacity_tokens: int
     models: tuple[str, ...] = ()
     token_move_s: float = 0.0
-    """Seconds to move one cached token over an engine's link within an availability
-    zone; 0 when the configuration does not tell."""
+    """Seconds to transfer one cached token over an engine's link within an availability
+    zone; 0 when not configured."""
     can_copy_runs: bool = False
     """Whether engines copy the memory of runs to each other."""
 
 
 @dataclass(frozen=True)
 class ForwardUpstream:
-    """Hold one upstream: engines, a plain service, or a store of KV cache."""
+    """An upstream: engines, a plain service, or a KV cache store."""
 
     name: str
     engine: EngineTraits | None = None
     kv_cache_address: str = ""
-    """Of a store of KV cache; empty for what takes requests."""
+    """Address of a KV cache store; empty for upstreams that take requests."""
     zone: str = ""
-    """Of a store of KV cache."""
+    """Availability zone of a KV cache store."""
 
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bound what a caller may send, and how long it may stay idle."""
+    """Limits on the size of a caller's request and on its idle time."""
 
     max_header_bytes: int = 16 << 10
     max_body_bytes: int = 4 << 20
@@ -118,13 +118,13 @@
 
 
 def key_digest(key: str) -> bytes:
-    """Return what is kept and compared instead of an API key."""
+    """Return the digest that is stored and compared instead of an API key."""
     return hashlib.sha256(key.encode("latin-1", "replace")).digest()
 
 
 @dataclass(frozen=True)
 class ForwardConfiguration:
-    """Hold one whole configuration, with tables for finding things in it.
+    """A whole forwarding configuration, with lookup tables.
 
     For example ``cfg.match("shop.example", "/jobs/7")`` returns the route with the
     longest prefix of that path, or None.
@@ -132,7 +132,7 @@
 
     version: int
     revision: int
-    """The store's revision of the object: the order of all configurations."""
+    """The store's revision of the object, which orders configurations."""
     routes: tuple[ForwardRoute, ...]
     upstreams: tuple[ForwardUpstream, ...]
     accounts: tuple[ForwardAccount, ...]
@@ -167,7 +167,7 @@
     def account_of(self, key: str) -> ForwardAccount | None:
         """Return the account that holds an API key, or None.
 
-        The table is keyed by digests, so the time taken tells nothing about keys.
+        The table is keyed by digests, so the lookup time reveals nothing about keys.
         """
         return self._by_digest.get(key_digest(key))
 
@@ -181,11 +181,10 @@
         return bool(self.accounts)
 
     def kv_cache(self, part_id: str) -> ForwardUpstream | None:
-        """Return the store of KV cache for what ends with a prompt part, or None.
+        """Return the KV cache store for prompts that end with a part, or None.
 
-        Each store keeps its own share of the parts: all that a prompt shares lies in
-        one store, and every router looks there. In one of three stores the parts of
-        all prompts would have a third of the room, and wait for a third of the links.
+        Each store keeps its own share of the parts, and every router picks the same
+        store for a part, so that all stores' capacity and links are used.
         """
         stores = {item.name: item for item in self.upstreams if item.kv_cache_address}
         if not stores:
@@ -195,7 +194,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """Hold one part of a prompt; parts with the same id have the same tokens."""
+    """One part of a prompt; parts with the same id have the same tokens."""
 
     part_id: str
     n_tokens: int
@@ -203,18 +202,18 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """Hold a prompt as nested parts; the last belongs to the request alone."""
+    """A prompt as nested parts; the last part belongs to the request alone."""
 
     model: str
     parts: tuple[PromptPart, ...]
     n_prompt: int
     """Tokens of the whole prompt."""
     n_output: int
-    """Tokens of output at most."""
+    """Maximum tokens of output."""
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have too."""
+        """The parts that other requests may share."""
         return self.parts[:-1]
 
     @property
@@ -225,7 +224,7 @@
 
 @dataclass(frozen=True)
 class ForwardInstance:
-    """Hold what its entry in the platform's list says of one upstream instance."""
+    """One upstream instance, as described by its entry in the platform's store."""
 
     instance: str
     upstream: str
@@ -234,7 +233,7 @@
     slots: int = 1
     is_leaving: bool = False
     born_ms: int = 0
-    """Unix milliseconds of its start: a greater one is a new life of the instance."""
+    """Unix milliseconds of its start; a restarted instance has a greater value."""
     revision: int = 0
     """The store's revision of the entry."""
     weights: tuple[tuple[str, int], ...] = ()
@@ -242,5 +241,6 @@
 
     @property
     def life(self) -> tuple[str, int]:
-        """Name of this life of the instance; knowledge is keyed by it."""
+        """Key of this incarnation: name and start. State about the instance is keyed by
+        it."""
         return (self.instance, self.born_ms)
--- a/packages/corianderlb-core/src/corianderlb_core/prefix.py
+++ b/packages/corianderlb-core/src/corianderlb_core/prefix.py
@@ -1,9 +1,9 @@
-"""Keys of prompt prefixes, the same here and in the engines' own caches.
+"""Compute keys of prompt prefixes, equal to those of the engines' own caches.
 
-A prompt is cut into pieces; the key of a piece stands for the whole prompt up to its
-end. The chain starts from a seed made of client account, model, adapter and weights
-version, so that equal text of another account or for other weights has other keys:
-no table that is keyed by them can mix the two up.
+A prompt is cut into pieces; the key of a piece identifies the whole prompt up to its
+end. The hash chain starts from a seed of client account, model, adapter and weights
+version, so equal text of another account or for other weights has other keys, and
+tables keyed by them cannot mix the two.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 from typing import Any, Final
 
 KEY_BYTES: Final = 16
-"""Length of a prefix key. Callers choose the text, so the hash is a strong one."""
+"""Length of a prefix key. Callers choose the text, so the hash must resist
+collisions."""
 
 _SEPARATOR: Final = "\n"
 
 
 @dataclass(frozen=True)
 class PrefixScope:
-    """Hold what two prompts must share before their prefixes can be the same."""
+    """What two prompts must have in common for their prefixes to be equal."""
 
     salt: str
-    """Goes to the engine as ``corianderlb-cache-salt``; see ``cache_salt``."""
+    """Sent to the engine as ``corianderlb-cache-salt``; see ``cache_salt``."""
     weights_version: str
     adapter: str = ""
     """Made by ``adapter_label``; empty without an adapter."""
@@ -54,8 +55,8 @@
     """Return the prompt of a chat or text completion body as engines cut it.
 
     For example ``{"messages": [{"role": "user", "content": "hi"}]}`` gives
-    ``"user\\nhi\\n"``. Fields of the wrong type count as empty: checking the body is
-    the business of whoever takes the request.
+    ``"user\\nhi\\n"``. Fields of the wrong type count as empty; the caller validates
+    the body.
     """
     messages = body.get("messages")
     if isinstance(messages, list):
@@ -69,7 +70,7 @@
 def prefix_keys(text: str, scope: PrefixScope, piece_chars: int) -> tuple[bytes, ...]:
     """Return the key of each whole piece of the text, the shortest prefix first.
 
-    A last piece that is not full has no key, since engines do not cache it.
+    An incomplete last piece has no key, since engines do not cache it.
     """
     key = scope.seed
     keys = []
--- a/packages/corianderlb-core/src/corianderlb_core/rendezvous.py
+++ b/packages/corianderlb-core/src/corianderlb_core/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: agree on homes without talking.
+"""Rendezvous hashing: assign keys to nodes without coordination.
 
 Each pair of key and node has a weight that any process can compute; the node with the
-highest weight is the home. Taking a node away moves only the keys it was home to
+highest weight is the primary. Removing a node moves only the keys whose primary it was
 (Thaler and Ravishankar, 1998).
 """
 
@@ -13,7 +13,7 @@
 
 
 def seed(node: str) -> int:
-    """Return what stands for a node in its weights; worth keeping with the node."""
+    """Return the hash of a node's name, to be cached with the node."""
     return xxhash.xxh3_64_intdigest(node.encode())
 
 
@@ -28,13 +28,13 @@
 
 
 def rank(key: bytes, nodes: Iterable[str]) -> list[str]:
-    """Return the nodes with the home first.
+    """Return the nodes in descending order of weight, the primary first.
 
-    Equal weights fall back on the name, so that all processes agree.
+    Nodes of equal weight are ordered by name, so that all processes agree.
     """
     return sorted(nodes, key=lambda node: (-weight(key, node), node))
 
 
 def home(key: bytes, nodes: Iterable[str]) -> str | None:
-    """Return the home of a key, or None without nodes."""
+    """Return the primary of a key, or None without nodes."""
     return max(nodes, key=lambda node: (weight(key, node), node), default=None)
--- a/packages/corianderlb-core/src/corianderlb_core/service_choice.py
+++ b/packages/corianderlb-core/src/corianderlb_core/service_choice.py
@@ -9,32 +9,33 @@
 
 from .forwarding import ForwardInstance
 
-FIRST_LATENCY_S: Final = 0.03
-"""Assumed time of a call before any was measured."""
+INITIAL_LATENCY_S: Final = 0.03
+"""Assumed latency of a call before the first observation."""
 
 LEARN_RATE: Final = 0.1
-"""How far one call moves the latency; ten calls move it two thirds of the way."""
+"""Weight of one call in the learned latency."""
 
-WORD_S: Final = 0.5
-"""How long an instance's own word on its load counts; it moves within one call."""
+REPORT_TTL_S: Final = 0.5
+"""Age at which an instance's own report of its load expires."""
 
 JITTER_S: Final = 0.001
-"""Spread between instances that seem equal, so that routers do not all pick one."""
+"""Random spread between instances of equal cost, so that routers do not all pick
+one."""
 
 
 @dataclass
 class ServiceLoad:
-    """Follow the load and the speed of one life of a service instance."""
+    """Load and learned latency of one incarnation of a service instance."""
 
     slots: int
     n_in_flight: int = 0
-    """Calls of this router that it has."""
-    latency_s: float = FIRST_LATENCY_S
-    """Learned time of a call that does not queue."""
-    told_busy: int = 0
-    """Running and waiting calls of all routers, by its own last word."""
-    told_at: float = float("-inf")
-    in_flight_when_told: int = 0
+    """Calls of this router in flight at the instance."""
+    latency_s: float = INITIAL_LATENCY_S
+    """Learned latency of a call that does not queue."""
+    reported_busy: int = 0
+    """Running and waiting calls of all routers, as the instance last reported."""
+    reported_at: float = float("-inf")
+    in_flight_at_report: int = 0
 
     def started(self) -> None:
         """Count a call that is being sent."""
@@ -45,24 +46,24 @@
         self.n_in_flight -= 1
 
     def answered(self, seconds: float) -> None:
-        """Learn from the time of a call that was answered."""
+        """Learn from the latency of a call that was answered."""
         busy = max(1.0, self.n_in_flight / max(1, self.slots))
         self.latency_s += LEARN_RATE * (seconds / busy - self.latency_s)
 
     def told(self, n_busy: int, now: float) -> None:
-        """Take the instance's own word on its load, the answered call left out."""
-        self.told_busy = max(0, n_busy - 1)
-        self.told_at = now
-        self.in_flight_when_told = max(0, self.n_in_flight - 1)
+        """Record the instance's own report of its load, without the answered call."""
+        self.reported_busy = max(0, n_busy - 1)
+        self.reported_at = now
+        self.in_flight_at_report = max(0, self.n_in_flight - 1)
 
     def wait_s(self, now: float) -> float:
         """Return the estimated time until a new call is answered."""
         n_busy = self.n_in_flight
-        if now - self.told_at < WORD_S:
-            others = max(0, self.told_busy - self.in_flight_when_told)
+        if now - self.reported_at < REPORT_TTL_S:
+            others = max(0, self.reported_busy - self.in_flight_at_report)
             n_busy += others
-        beyond = max(0, n_busy + 1 - self.slots)
-        return self.latency_s * (1 + beyond / max(1, self.slots) + 0.1 * n_busy)
+        n_excess = max(0, n_busy + 1 - self.slots)
+        return self.latency_s * (1 + n_excess / max(1, self.slots) + 0.1 * n_busy)
 
 
 def choose_service(
@@ -75,12 +76,12 @@
 ) -> ForwardInstance | None:
     """Return the instance expected to answer first, or None when there is none.
 
-    ``risk_s`` gives what the chance of a failure weighs for each, in seconds.
+    ``risk_s`` returns the cost of an instance's risk of failure, in seconds.
     """
 
     def cost(pair: tuple[ForwardInstance, ServiceLoad]) -> float:
         instance, load = pair
-        away = 0.0 if instance.zone == zone else zone_penalty_s
-        return load.wait_s(now) + away + risk_s(instance) + rng.uniform(0.0, JITTER_S)
+        zone_s = 0.0 if instance.zone == zone else zone_penalty_s
+        return load.wait_s(now) + zone_s + risk_s(instance) + rng.uniform(0.0, JITTER_S)
 
     return min(candidates, key=cost)[0] if candidates else None
--- a/packages/corianderlb-core/tests/rush_model.py
+++ b/packages/corianderlb-core/tests/rush_model.py
@@ -1,4 +1,4 @@
-"""Play callers against engines that read in the order of arrival."""
+"""Simulate callers and engines that prefill in order of arrival."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from dataclasses import dataclass, field
 
 TOKENS_PER_S = 50_000.0
-"""Speed at which one engine reads."""
+"""Prefill rate of one engine."""
 
 OBJECTIVE_S = 0.4
-STAY_S = 15.0
-"""How long a caller stays."""
+CALLER_TIMEOUT_S = 15.0
+"""Time after which a caller gives up."""
 
-RETURN_SHARE = 1 / 3
-"""Part of the time it has left for which a caller stays away."""
+MAX_RETRY_DELAY_SHARE = 1 / 3
+"""Maximum share of its remaining time that a caller waits before a retry."""
 
-BackIn = Callable[[float, float, float, float], float]
-"""From the wait, the time to read, the most and the clock to when to come back."""
+RetryDelay = Callable[[float, float, float, float], float]
+"""Returns the delay of a retry from the wait, the prefill time, the maximum and the
+clock."""
 
 
 @dataclass
 class Outcome:
-    """Hold what callers got."""
+    """Results of the callers."""
 
     n_in_time: int = 0
     n_late: int = 0
@@ -32,28 +33,27 @@
 
 
 def play_rush(
-    back_in: BackIn,
+    retry_delay: RetryDelay,
     n_engines: int = 4,
-    calm: float = 0.6,
-    rush: float = 1.4,
-    rush_s: float = 4.0,
-    day_s: float = 12.0,
+    normal_load: float = 0.6,
+    surge_load: float = 1.4,
+    surge_s: float = 4.0,
+    duration_s: float = 12.0,
     seed: int = 1,
 ) -> Outcome:
-    """Play a rush and what follows; return what callers got.
+    """Simulate a surge of traffic and its aftermath; return the callers' results.
 
-    ``calm`` and ``rush`` are what is asked, in parts of what the engines can read. A
-    caller is refused when the shortest queue is longer than a third of its objective,
-    and comes back once.
+    The loads are in units of the engines' capacity. A caller is refused when the
+    shortest queue is longer than a third of its objective, and retries once.
     """
     rng = random.Random(seed)
     free_at = [0.0] * n_engines
     events: list[tuple[float, int, float, float]] = []
     now, number = 0.0, 0
     mean_tokens = 2_000
-    while now < day_s:
-        in_rush = 2.0 <= now < 2.0 + rush_s
-        share = rush if in_rush else calm
+    while now < duration_s:
+        in_surge = 2.0 <= now < 2.0 + surge_s
+        share = surge_load if in_surge else normal_load
         now += rng.expovariate(share * n_engines * TOKENS_PER_S / mean_tokens)
         number += 1
         n_tokens = rng.choice((500, 500, 1_000, 6_000))
@@ -76,7 +76,7 @@
         elif now > first_at:
             outcome.n_refused_twice += 1
         else:
-            most_s = STAY_S * RETURN_SHARE
-            away_s = back_in(wait_s, read_s / n_engines, most_s, now)
-            heapq.heappush(events, (now + away_s, number, n_tokens, first_at))
+            max_delay_s = CALLER_TIMEOUT_S * MAX_RETRY_DELAY_SHARE
+            delay_s = retry_delay(wait_s, read_s / n_engines, max_delay_s, now)
+            heapq.heappush(events, (now + delay_s, number, n_tokens, first_at))
     return outcome
--- a/packages/corianderlb-core/tests/test_forwarding.py
+++ b/packages/corianderlb-core/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Routes, accounts, repeats and plain services."""
+"""Test routes, accounts, retry budgets and the choice of plain services."""
 
 from __future__ import annotations
 
@@ -53,8 +53,7 @@
         self.assertIsNone(cfg.match("other", "/a/b"))
 
     def test_parts_are_spread_over_all_stores_of_kv_cache(self) -> None:
-        # Three stores keep prompt parts. With all of them in one the parts push each
-        # other out, and users wait for prompts to be read that were read before.
+        # Guards against placing all parts in one store, where they evict each other.
         names = ("s1", "s2", "s3")
         stores = tuple(ForwardUpstream(n, kv_cache_address=f"{n}:1") for n in names)
         cfg = ForwardConfiguration(1, 1, (), (ForwardUpstream("app"), *stores), ())
@@ -78,7 +77,7 @@
         expected = max(fitting, key=len) if fitting else None
         self.assertEqual(found.name if found else None, expected)
 
-    def test_each_key_of_an_account_counts(self) -> None:
+    def test_each_key_of_an_account_is_accepted(self) -> None:
         cfg = a_configuration()
         self.assertEqual(cfg.account_of("k2").name, "acme")
         self.assertIsNone(cfg.account_of("k3"))
@@ -86,8 +85,8 @@
 
 class ArrivalBudgetTest(unittest.TestCase):
     def test_fleet_keeps_within_the_allowance(self) -> None:
-        # All requests fail on all routers at once. The sum of the repeats must stay
-        # within what the upstream allows, however the requests are spread.
+        # All requests fail on all routers at once. The sum of the retries must stay
+        # within the upstream's allowance, however the requests are distributed.
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
         n_routers, n_requests, n_repeats = 4, 0, 0
         for router in range(n_routers):
@@ -101,25 +100,25 @@
 
     @staticmethod
     def spend(budget: ArrivalBudget, now: float, n_routers: int) -> int:
-        """Take all there is; return how many repeats that were."""
+        """Take all there is; return the number of retries."""
         return sum(budget.take(now, n_routers) for _ in range(1000))
 
-    def test_routers_that_start_again_have_spent_their_part(self) -> None:
-        """Guard against a fixed part that is spent once by each life of a router."""
+    def test_restarted_router_does_not_spend_the_fixed_part_again(self) -> None:
+        """Guard against spending the fixed part again after a router's restart."""
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
         n_repeats = 0
         for _ in range(4):
             n_repeats += self.spend(ArrivalBudget(terms, started_at=-60.0), 0.0, 4)
-            # Right after its start a router has heard of no other.
-            reborn = ArrivalBudget(terms, started_at=2.0, n_routers=4)
-            n_repeats += self.spend(reborn, 3.0, 1) + self.spend(reborn, 9.0, 4)
+            # Right after its start a router knows no other.
+            restarted = ArrivalBudget(terms, started_at=2.0, n_routers=4)
+            n_repeats += self.spend(restarted, 3.0, 1) + self.spend(restarted, 9.0, 4)
         self.assertLessEqual(n_repeats, 50)
-        reborn = ArrivalBudget(terms, started_at=2.0, n_routers=4)
-        self.assertGreater(self.spend(reborn, 3.0, 4), 0)
-        self.assertEqual(self.spend(reborn, 13.1, 4), 10)
+        restarted = ArrivalBudget(terms, started_at=2.0, n_routers=4)
+        self.assertGreater(self.spend(restarted, 3.0, 4), 0)
+        self.assertEqual(self.spend(restarted, 13.1, 4), 10)
 
-    def test_part_of_routers_that_were_lost_stays_spent(self) -> None:
-        """Guard against survivors that spend again what lost routers have spent."""
+    def test_budget_of_lost_routers_stays_spent(self) -> None:
+        """Guard against routers spending again what lost routers have spent."""
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
         budgets = [ArrivalBudget(terms, started_at=-60.0) for _ in range(4)]
         n_repeats = sum(self.spend(budget, 0.0, 4) for budget in budgets[:3])
@@ -128,7 +127,7 @@
         self.assertLessEqual(n_repeats, 50)
         self.assertEqual(self.spend(budgets[3], 14.1, 1), 40)
 
-    def test_window_moves_on(self) -> None:
+    def test_window_slides(self) -> None:
         terms = BudgetTerms(ratio=0.0, fixed=2.0, window_s=10.0)
         budget = ArrivalBudget(terms, started_at=-60.0)
         self.assertTrue(budget.take(0.0, 1))
@@ -137,8 +136,8 @@
 
 
 class ServiceChoiceTest(unittest.TestCase):
-    def test_load_that_an_instance_tells_counts(self) -> None:
-        # Other routers have filled an instance, which this one sees only by its word.
+    def test_reported_load_counts(self) -> None:
+        # Load from other routers is visible only in the instance's own report.
         busy, idle = ServiceLoad(6), ServiceLoad(6)
         busy.told(13, 0.0)
         pairs = [(an_instance("a"), busy), (an_instance("b"), idle)]
@@ -164,11 +163,11 @@
             self.assertEqual(chosen.instance, "b")
 
 
-class PassedOnMessageTest(unittest.TestCase):
-    def test_decoded_message_can_be_passed_on(self) -> None:
-        # A router passes a peer's word on. Fields that were left out of the frame are
-        # missing in what it decoded; encoding that again ended the process.
-        words = (WeightsWord("e1", 1, "m", 2, EnginePhase.LOADING, 7),)
-        for message in (WeightsNews(words), WeightsNews(), EngineNews()):
+class ForwardedMessageTest(unittest.TestCase):
+    def test_decoded_message_can_be_encoded_again(self) -> None:
+        # Guards against a failure to encode a decoded message: fields left out of the
+        # frame are missing in it.
+        updates = (WeightsWord("e1", 1, "m", 2, EnginePhase.LOADING, 7),)
+        for message in (WeightsNews(updates), WeightsNews(), EngineNews()):
             frame = encode(message)
             self.assertEqual(encode(decode(frame)), frame)
--- a/packages/corianderlb-core/tests/test_prefix.py
+++ b/packages/corianderlb-core/tests/test_prefix.py
@@ -17,31 +17,28 @@
 
 
 def keys(text: str = TEXT, account: str = "kiln", weights: str = "w1") -> tuple:
-    """Return the keys of a text under the scope that a test names."""
+    """Return the keys of a text under the scope of an account and weights version."""
     return prefix_keys(text, PrefixScope(cache_salt(account, "m"), weights), PIECE)
 
 
 class TestPrefix(unittest.TestCase):
-    """Equal keys mean an equal prompt so far, of one account and one set of weights."""
+    """Equal keys mean equal prompts up to the piece, account and weights version."""
 
     def test_whole_pieces_only(self):
-        """A last piece that is not full has no key."""
+        """An incomplete last piece has no key."""
         self.assertEqual(len(keys("x" * 149)), 2)
         self.assertEqual(len(keys("x" * 150)), 3)
         self.assertEqual(keys("x" * 49), ())
 
     def test_nested_prefixes_share_keys(self):
-        """Two prompts have the same keys up to the piece where they part."""
+        """Two prompts have the same keys up to the piece where they differ."""
         one, other = keys(TEXT + "a" * 60), keys(TEXT + "b" * 60)
         n_shared = len(TEXT) // PIECE
         self.assertEqual(one[:n_shared], other[:n_shared])
         self.assertTrue(set(one[n_shared:]).isdisjoint(other[n_shared:]))
 
     def test_scope_changes_every_key(self):
-        """Two accounts send the same text, or new weights come into force.
-
-        If any key were the same, one would be answered from the other's cache.
-        """
+        """Guards against answers from the cache of another account or version."""
         scopes = [
             keys(),
             keys(account="yard"),
@@ -57,7 +54,7 @@
         self.assertEqual(len(set(together)), len(together))
 
     def test_prompt_text_of_chat_and_completion(self):
-        """The text is the one that engines cut, whichever body it came in."""
+        """Chat and completion bodies give the text that engines cut."""
         chat = {
             "messages": [
                 {"role": "system", "content": "a"},
