--- a/packages/corianderlb-core/src/corianderlb_core/return_schedule.py
+++ b/packages/corianderlb-core/src/corianderlb_core/return_schedule.py
@@ -1,8 +1,8 @@
-"""Say when callers that were refused in a rush should come back.
+"""Spread the Retry-After of callers that are refused in a surge.
 
-Told the same short time, they come back together into the same rush, are refused a
-second time and give up. Each is given a time of its own instead, as far apart as a
-part of the engines' speed can read what they ask.
+With the same short Retry-After, refused callers return together into the same surge and
+are refused again. Each gets a separate time instead, spaced by the time that a fraction
+of the engines' prefill rate takes for their prompts.
 """
 
 from __future__ import annotations
@@ -11,27 +11,32 @@
 from typing import Final
 
 RETURN_SHARE: Final = 0.25
-"""Part of the speed of all engines that is planned for those who come back; the rest
-is for those who ask for the first time."""
+"""Fraction of the total prefill rate that is planned for returning callers; the rest
+serves new requests."""
 
 
 class ReturnSchedule:
-    """Give each refused caller of one upstream a time to come back."""
+    """Schedule of the return times of refused callers of one upstream."""
 
     def __init__(self) -> None:
         self._planned_until = -math.inf
 
     def back_in(
-        self, wait_s: float, read_s: float, most_s: float, n_routers: int, now: float
+        self,
+        wait_s: float,
+        prefill_s: float,
+        max_wait_s: float,
+        n_routers: int,
+        now: float,
     ) -> float:
-        """Return after how many seconds a caller should come back.
+        """Return the Retry-After of a caller in seconds.
 
-        ``wait_s`` is the time until an engine could begin now, ``read_s`` how long all
-        engines together take to read its prompt, ``most_s`` how long it can stay away.
-        Each of ``n_routers`` plans with its part of their speed.
+        ``wait_s`` is the time until an engine could start the request, ``prefill_s``
+        the time that all engines together take to prefill its prompt, ``max_wait_s``
+        the longest Retry-After. Each of ``n_routers`` plans an even share of the rate.
         """
-        begins = max(now + wait_s, self._planned_until)
-        if begins - now >= most_s:
-            return most_s
-        self._planned_until = begins + read_s * max(1, n_routers) / RETURN_SHARE
-        return begins - now
+        starts_at = max(now + wait_s, self._planned_until)
+        if starts_at - now >= max_wait_s:
+            return max_wait_s
+        self._planned_until = starts_at + prefill_s * max(1, n_routers) / RETURN_SHARE
+        return starts_at - now
--- a/packages/corianderlb-core/src/corianderlb_core/weights_roll.py
+++ b/packages/corianderlb-core/src/corianderlb_core/weights_roll.py
@@ -1,11 +1,11 @@
-"""Plan how the engines of an upstream come to a newly named version of weights.
-
-An engine loads weights only once its runs have ended, and takes nothing new from the
-order on. Where answers last for seconds, each load would so take an engine away for
-as long as its longest run. Engines are therefore emptied first: they take no new
-work, and their runs are moved to engines that still have the weights they began with.
-The last engine of a version has nowhere to move its runs to. It ends them while the
-others already serve the new version, and loads when it is empty.
+"""Plan the rollout of a new weights version over the engines of an upstream.
+
+An engine loads weights only after its runs complete, and accepts no requests once it
+has the order. A load order to a busy engine would take it out of service for as long
+as its longest run, so engines are emptied first: they get no new requests, and their
+runs move to engines that have the same weights version. The last engine of a version
+has no such fallback. It finishes its runs while the others already serve the new
+version, and loads when it is empty.
 """
 
 from __future__ import annotations
@@ -16,104 +16,101 @@
 from enum import Enum
 from typing import Final
 
-MIN_LOADS: Final = 2
-"""Engines that load at once in a small fleet: the weight store serves two at full
-speed."""
+MIN_CONCURRENT_LOADS: Final = 2
+"""Concurrent loads in a small fleet; the weight store serves two at full speed."""
 
-LOADS_SHARE: Final = 0.25
-"""Part of the engines that load at once. With two at once a large fleet would take many
-times as long as users accept for one version; each loading engine is missing from the
-others' work, which in a rush that has a quarter silent leaves too few."""
+MAX_LOADING_SHARE: Final = 0.25
+"""Largest fraction of the engines that load concurrently. More would leave too few
+engines in a surge of traffic while others are unresponsive."""
 
-AGAIN_S: Final = 1.5
-"""Time until an order without any effect is given again."""
+ORDER_RETRY_S: Final = 1.5
+"""Time after which an order without effect is sent again."""
 
-HUNG_S: Final = 8.0
-"""Time after which an engine that still loads no longer counts among the loads: its
-order may be carried out late or never, and others must not wait for it."""
+LOAD_TIMEOUT_S: Final = 8.0
+"""Time after which a load counts as stalled and frees its slot for another engine."""
 
-MOVE_S: Final = 0.6
-"""How long an engine may take to be emptied while its runs have a place to go to. What
-is left then cannot be moved and ends by itself under the order."""
+MOVE_TIMEOUT_S: Final = 0.6
+"""Timeout for moving the runs of an engine to a fallback. The load order is sent then,
+and the remaining runs complete before the engine loads."""
 
 PATIENCE_S: Final = 8.0
-"""How long an engine ends its runs without an order when they have no place to go to.
-The order would keep it from going straight to a version that is named meanwhile."""
+"""Timeout for finishing runs without a fallback before the load order is sent. An
+earlier order would keep the engine from loading a still newer version directly."""
 
-REST_S: Final = 4.0
-"""How long an engine with replaced weights may end its runs in peace while others serve
-newer ones: most runs are over by then, and the rest can still move in time."""
+MAX_RESTING_S: Final = 4.0
+"""Time that an engine with replaced weights may spend finishing its runs, while others
+serve newer weights, before the remaining runs are moved."""
 
-HOLDOUTS_SHARE: Final = 1 / 3
-"""Part of the engines that may be ending runs of replaced weights. When versions are
-named faster than runs end, too few would be left for new requests."""
+MAX_FINISHING_SHARE: Final = 1 / 3
+"""Largest fraction of the engines that may be finishing runs of replaced weights. When
+new versions arrive faster than runs complete, the rest must serve new requests."""
 
 
 class EnginePhase(Enum):
-    """Say what an engine is wanted for while weights roll."""
+    """Target phase of an engine during a weights rollout."""
 
     SERVING = "serving"
     RESTING = "resting"
-    """It takes no new work and ends its runs; others have newer weights by now."""
+    """No new requests; runs complete here while others serve newer weights."""
     EMPTYING = "emptying"
-    """It takes no new work; its runs move to engines with the same weights."""
+    """No new requests; runs move to engines with the same weights version."""
     CLEARING = "clearing"
-    """The same, and runs that may be resumed go on at engines with newer weights."""
+    """Like EMPTYING, but resumable runs move to engines with newer weights."""
     LOADING = "loading"
-    """It takes nothing until it has loaded."""
+    """No requests until the load completes."""
 
 
 @dataclass(frozen=True)
 class EngineWeights:
-    """Hold what the holder of the orders knows of one engine and one model."""
+    """State of one engine and one model as seen by the router that sends the orders."""
 
     instance: str
     version: int
     is_loading: bool
-    """True while an order of any version is under way there."""
+    """Whether a load order for any version is in progress."""
     loading_s: float
-    """Seconds since that order was given."""
+    """Seconds since that order was sent."""
     ordered_s: float
-    """Seconds since the last order to it, infinite when there was none."""
+    """Seconds since the last order was sent; infinite if there was none."""
     n_requests: int
-    """Requests it has, as far as the router knows."""
+    """Requests in flight on the engine that this router knows of."""
     is_reachable: bool = True
-    """Whether an order could be tried now."""
+    """Whether an order can be sent now."""
     is_lost: bool = False
-    """Whether it did not answer last; it serves nobody until it is heard of again."""
+    """Whether the last call failed; no requests go there until its next report."""
     is_silent: bool = False
-    """Whether nothing comes from it though it has requests: it may be lost."""
+    """Whether it is unresponsive with requests in flight, and so may be lost."""
     emptying_s: float | None = None
-    """Seconds since it was asked to take no new work; None while it serves."""
+    """Seconds since emptying began; None while the engine serves."""
     resting_s: float | None = None
-    """The same while it may end its runs, and they need not leave it."""
+    """Seconds since the engine began to rest; None while it does not."""
 
     @property
-    def is_able(self) -> bool:
-        """Whether it could take requests."""
+    def is_available(self) -> bool:
+        """Whether the engine can take requests."""
         return not (self.is_loading or self.is_lost) and self.emptying_s is None
 
     @property
     def is_serving(self) -> bool:
-        """Whether it takes new requests."""
-        return self.is_able and self.resting_s is None
+        """Whether the engine takes new requests."""
+        return self.is_available and self.resting_s is None
 
 
 @dataclass(frozen=True)
 class RollPlan:
-    """Hold what is to be done now."""
+    """Orders to send now and target phases of the engines."""
 
     orders: tuple[str, ...] = ()
-    """Engines to be given the order to load, most useful first."""
+    """Engines to send a load order to, by priority."""
     emptying: tuple[str, ...] = ()
-    """Engines that take no new work, those already so included."""
+    """Engines to empty, including those that are being emptied already."""
     clearing: tuple[str, ...] = ()
-    """Those of them whose runs go on at newer weights."""
+    """Those engines in ``emptying`` whose runs move to newer weights."""
     resting: tuple[str, ...] = ()
-    """Engines that take no new work and end their runs."""
+    """Engines that get no new requests and finish their runs."""
 
     def phase(self, instance: str) -> EnginePhase:
-        """Return what an engine that gets no order now is wanted for."""
+        """Return the target phase of an engine that gets no order now."""
         if instance in self.clearing:
             return EnginePhase.CLEARING
         if instance in self.emptying:
@@ -123,156 +120,164 @@
         return EnginePhase.SERVING
 
 
-def max_loads(n_engines: int) -> int:
-    """Return how many engines of a fleet may load at once."""
-    return max(MIN_LOADS, int(LOADS_SHARE * n_engines))
+def max_concurrent_loads(n_engines: int) -> int:
+    """Return how many engines of a fleet may load concurrently."""
+    return max(MIN_CONCURRENT_LOADS, int(MAX_LOADING_SHARE * n_engines))
 
 
 def plan_roll(
     engines: Sequence[EngineWeights], newest: int, n_needed: int = 1
 ) -> RollPlan:
-    """Return which engines to empty and which to order now.
+    """Return which engines to empty and which to send load orders to.
 
-    The oldest weights go first: when versions are named faster than engines load, a
-    busy engine would else be passed over each time. Among equals an engine with few
-    requests goes first, since it is soon empty. ``n_needed`` engines are left to
-    serve as long as there are so many.
+    Engines with the oldest weights go first, so that a busy engine is not passed over
+    when new versions arrive faster than engines load. Among equals the engine with the
+    fewest requests goes first. ``n_needed`` engines keep serving if that many are
+    available.
     """
     return _Planner(engines, newest, n_needed).plan()
 
 
 class _Planner:
-    """Hold one question while it is answered."""
+    """Intermediate results of one call of ``plan_roll``."""
 
     def __init__(
         self, engines: Sequence[EngineWeights], newest: int, n_needed: int
     ) -> None:
         self._engines = engines
-        self._behind = sorted(
+        self._outdated = sorted(
             (
                 engine
                 for engine in engines
                 if engine.version < newest
                 and not engine.is_loading
-                and engine.ordered_s >= AGAIN_S
+                and engine.ordered_s >= ORDER_RETRY_S
                 and engine.is_reachable
             ),
-            key=_usefulness,
+            key=_load_priority,
+        )
+        self._n_fallbacks = Counter(
+            engine.version for engine in engines if engine.is_available
         )
-        self._refuges = Counter(engine.version for engine in engines if engine.is_able)
         self._n_serving = sum(engine.is_serving for engine in engines)
-        n_hung = sum(
-            engine.is_loading and engine.loading_s >= HUNG_S for engine in engines
+        n_stalled = sum(
+            engine.is_loading and engine.loading_s >= LOAD_TIMEOUT_S
+            for engine in engines
         )
-        n_able = sum(not engine.is_lost for engine in engines) - n_hung
-        self._n_kept = min(n_needed, n_able - 1)
+        n_available = sum(not engine.is_lost for engine in engines) - n_stalled
+        self._n_required = min(n_needed, n_available - 1)
         n_loading = sum(
-            engine.is_loading and engine.loading_s < HUNG_S for engine in engines
+            engine.is_loading and engine.loading_s < LOAD_TIMEOUT_S
+            for engine in engines
         )
         self._n_newest = sum(
             engine.is_serving and engine.version >= newest for engine in engines
         )
-        self._free_loads = max(0, max_loads(len(engines)) - n_loading)
+        self._n_free_loads = max(0, max_concurrent_loads(len(engines)) - n_loading)
 
     def plan(self) -> RollPlan:
-        orders = [engine for engine in self._behind if self._is_due(engine)]
-        orders = orders[: self._free_loads]
+        orders = [engine for engine in self._outdated if self._should_load(engine)]
+        orders = orders[: self._n_free_loads]
         waiting = [
             engine
-            for engine in self._behind
+            for engine in self._outdated
             if engine.emptying_s is not None
             and engine not in orders
             and not engine.is_lost
         ]
-        holdouts = [engine for engine in waiting if not self._has_refuge(engine)]
-        n_moving = len(waiting) - len(holdouts)
-        n_most = self._free_loads - len(orders) - n_moving
-        if self._n_newest > self._n_kept:
-            # Enough engines have the newest weights. Each run that is moved now would
-            # begin again on weights that users count as old.
-            n_most = 0
-        fresh = self._next(orders, n_most)
-        resting = self._resting(orders, fresh)
-        n_too_many = len(holdouts) - int(HOLDOUTS_SHARE * len(self._engines))
+        finishing = [engine for engine in waiting if not self._has_fallback(engine)]
+        n_moving = len(waiting) - len(finishing)
+        n_to_empty = self._n_free_loads - len(orders) - n_moving
+        if self._n_newest > self._n_required:
+            # Enough engines have the newest weights. A run moved now would restart on
+            # weights that are already replaced.
+            n_to_empty = 0
+        newly_emptying = self._next_to_empty(orders, n_to_empty)
+        resting = self._engines_to_rest(orders, newly_emptying)
+        n_excess = len(finishing) - int(MAX_FINISHING_SHARE * len(self._engines))
         return RollPlan(
-            orders=_names(orders),
-            emptying=_names([*waiting, *fresh]),
-            clearing=_names(holdouts[: max(0, n_too_many)]),
-            resting=_names(resting),
+            orders=_instances(orders),
+            emptying=_instances([*waiting, *newly_emptying]),
+            clearing=_instances(finishing[: max(0, n_excess)]),
+            resting=_instances(resting),
         )
 
-    def _resting(
-        self, orders: list[EngineWeights], fresh: list[EngineWeights]
+    def _engines_to_rest(
+        self, orders: list[EngineWeights], newly_emptying: list[EngineWeights]
     ) -> list[EngineWeights]:
-        """Return the engines that end their runs while others serve newer weights."""
-        if self._n_newest <= self._n_kept:
+        """Return the engines to finish their runs while others serve newer weights."""
+        if self._n_newest <= self._n_required:
             return []
         return [
             engine
-            for engine in self._behind
+            for engine in self._outdated
             if engine.emptying_s is None
             and engine not in orders
-            and engine not in fresh
+            and engine not in newly_emptying
             and not engine.is_lost
         ]
 
-    def _is_due(self, engine: EngineWeights) -> bool:
-        """Return whether an engine should load now."""
+    def _should_load(self, engine: EngineWeights) -> bool:
+        """Return whether to send an engine its load order now."""
         if engine.is_lost:
             return True
         if engine.n_requests == 0:
-            return not engine.is_serving or self._may_leave(engine)
+            return not engine.is_serving or self._can_spare(engine)
         if engine.emptying_s is None:
             return False
-        may_end_its_runs = self._n_serving > 0 and not self._has_refuge(engine)
-        return engine.emptying_s >= (PATIENCE_S if may_end_its_runs else MOVE_S)
+        may_finish_runs = self._n_serving > 0 and not self._has_fallback(engine)
+        return engine.emptying_s >= (PATIENCE_S if may_finish_runs else MOVE_TIMEOUT_S)
 
-    def _has_refuge(self, engine: EngineWeights) -> bool:
-        """Return whether another engine takes work under the same weights."""
-        return self._refuges[engine.version] > int(engine.is_able)
+    def _has_fallback(self, engine: EngineWeights) -> bool:
+        """Return whether another available engine has the same weights version."""
+        return self._n_fallbacks[engine.version] > int(engine.is_available)
 
-    def _may_leave(self, engine: EngineWeights) -> bool:
-        """Return whether enough engines serve without this one."""
-        return self._n_serving - 1 >= self._n_kept
+    def _can_spare(self, engine: EngineWeights) -> bool:
+        """Return whether enough other engines are serving."""
+        return self._n_serving - 1 >= self._n_required
 
-    def _next(self, orders: list[EngineWeights], n_most: int) -> list[EngineWeights]:
+    def _next_to_empty(
+        self, orders: list[EngineWeights], n_to_empty: int
+    ) -> list[EngineWeights]:
         """Return the engines to empty next.
 
-        The last one of a version serves on as a refuge while others of it are being
-        emptied: with both gone at once, neither's runs would have a place.
+        The last engine of a version keeps serving as the fallback while others of that
+        version are emptied; emptied together, their runs could not move anywhere.
         """
-        refuges, n_serving = Counter(self._refuges), self._n_serving
+        n_fallbacks, n_serving = Counter(self._n_fallbacks), self._n_serving
         for engine in orders:
-            refuges[engine.version] -= engine.is_able
+            n_fallbacks[engine.version] -= engine.is_available
             n_serving -= engine.is_serving
-        leaving = {
-            engine.version for engine in self._behind if engine.emptying_s is not None
+        leaving_versions = {
+            engine.version for engine in self._outdated if engine.emptying_s is not None
         }
-        chosen: list[EngineWeights] = []
-        for engine in self._behind:
-            if not engine.is_able or engine in orders:
+        selected: list[EngineWeights] = []
+        for engine in self._outdated:
+            if not engine.is_available or engine in orders:
                 continue
-            is_last = refuges[engine.version] == 1
-            if is_last and engine.version in leaving:
+            is_last = n_fallbacks[engine.version] == 1
+            if is_last and engine.version in leaving_versions:
                 continue
-            is_tired = engine.resting_s is not None and engine.resting_s >= REST_S
-            if not (is_last or is_tired) and len(chosen) >= n_most:
+            is_past_deadline = (
+                engine.resting_s is not None and engine.resting_s >= MAX_RESTING_S
+            )
+            if not (is_last or is_past_deadline) and len(selected) >= n_to_empty:
                 continue
-            if is_last and not is_tired and n_most == 0:
+            if is_last and not is_past_deadline and n_to_empty == 0:
                 continue
-            if engine.is_serving and n_serving - 1 < self._n_kept:
+            if engine.is_serving and n_serving - 1 < self._n_required:
                 continue
-            chosen.append(engine)
-            leaving.add(engine.version)
-            refuges[engine.version] -= 1
+            selected.append(engine)
+            leaving_versions.add(engine.version)
+            n_fallbacks[engine.version] -= 1
             n_serving -= engine.is_serving
-        return chosen
+        return selected
 
 
-def _usefulness(engine: EngineWeights) -> tuple[bool, int, int, str]:
-    is_doubtful = engine.is_lost or engine.is_silent
-    return (is_doubtful, engine.version, engine.n_requests, engine.instance)
+def _load_priority(engine: EngineWeights) -> tuple[bool, int, int, str]:
+    may_be_lost = engine.is_lost or engine.is_silent
+    return (may_be_lost, engine.version, engine.n_requests, engine.instance)
 
 
-def _names(engines: Sequence[EngineWeights]) -> tuple[str, ...]:
+def _instances(engines: Sequence[EngineWeights]) -> tuple[str, ...]:
     return tuple(engine.instance for engine in engines)
--- a/packages/corianderlb-core/tests/test_return_schedule.py
+++ b/packages/corianderlb-core/tests/test_return_schedule.py
@@ -1,4 +1,4 @@
-"""When callers come back that were refused in a rush."""
+"""Test the Retry-After of callers that are refused in a surge."""
 
 from __future__ import annotations
 
@@ -9,9 +9,8 @@
 
 
 class ReturnScheduleTest(unittest.TestCase):
-    def test_refused_callers_come_back_one_after_the_other(self) -> None:
-        # A hundred callers are refused within a second. Told the same short time, they
-        # meet in the same rush, are refused a second time and give up.
+    def test_return_times_are_spread(self) -> None:
+        # Guards against refused callers that return together into the same surge.
         schedule = ReturnSchedule()
         times = [
             now + schedule.back_in(0.3, 0.01, 5.0, 4, now)
@@ -21,7 +20,7 @@
         most = max(sum(start <= at < start + 1.0 for at in times) for start in range(5))
         self.assertLessEqual(most, 40)
 
-    def test_large_prompt_keeps_the_others_away_for_longer(self) -> None:
+    def test_large_prompt_delays_later_callers_more(self) -> None:
         small, large = ReturnSchedule(), ReturnSchedule()
         small.back_in(0.1, 0.01, 5.0, 1, 0.0)
         large.back_in(0.1, 0.1, 5.0, 1, 0.0)
@@ -30,30 +29,33 @@
             large.back_in(0.1, 0.01, 5.0, 1, 0.0),
         )
 
-    def test_nobody_is_sent_away_for_longer_than_it_can_stay(self) -> None:
+    def test_retry_after_does_not_exceed_its_maximum(self) -> None:
         schedule = ReturnSchedule()
         for _ in range(50):
             self.assertLessEqual(schedule.back_in(0.1, 0.1, 2.0, 4, 0.0), 2.0)
-        # Those who could not be planned for do not push others further away.
+        # Callers beyond the maximum do not delay later ones.
         self.assertLess(schedule.back_in(0.1, 0.1, 60.0, 4, 0.0), 4.0)
 
-    def test_calm_after_a_rush(self) -> None:
+    def test_schedule_resets_after_a_surge(self) -> None:
         schedule = ReturnSchedule()
         for _ in range(20):
             schedule.back_in(0.1, 0.05, 5.0, 4, 0.0)
         self.assertAlmostEqual(schedule.back_in(0.1, 0.05, 5.0, 4, 30.0), 0.1)
 
-    def test_rush_is_survived_by_those_who_come_back(self) -> None:
-        # For four seconds callers ask 1.4 times what four engines can read. Told to
-        # come back when an engine is free, they return into the rush, and one in five
-        # of all who asked in it is refused for good.
+    def test_spread_returns_reduce_second_refusals_in_a_surge(self) -> None:
+        # Traffic exceeds the prefill rate of the engines for some seconds. Callers that
+        # return as soon as an engine is free are refused again in the same surge.
         schedule = ReturnSchedule()
 
-        def planned(wait_s: float, read_s: float, most_s: float, now: float) -> float:
-            return schedule.back_in(wait_s, read_s, most_s, 1, now)
+        def planned(
+            wait_s: float, prefill_s: float, max_wait_s: float, now: float
+        ) -> float:
+            return schedule.back_in(wait_s, prefill_s, max_wait_s, 1, now)
 
-        def at_once(wait_s: float, read_s: float, most_s: float, now: float) -> float:
-            return min(most_s, max(0.2, wait_s))
+        def at_once(
+            wait_s: float, prefill_s: float, max_wait_s: float, now: float
+        ) -> float:
+            return min(max_wait_s, max(0.2, wait_s))
 
         before, after = play_rush(at_once), play_rush(planned)
         self.assertLess(after.n_refused_twice, before.n_refused_twice / 2)
