--- a/packages/corianderlb-core/src/corianderlb_core/health.py
+++ b/packages/corianderlb-core/src/corianderlb_core/health.py
@@ -1,9 +1,9 @@
-"""Judge one upstream instance by how its attempts go.
+"""Passive health checking of one upstream instance, from the outcomes of attempts.
 
 The states are in ``charts/upstream_health.yaml``. One failure makes an instance
-suspect, three in a row retire it; a crash or an answer to another request retires it
-at once. A retired instance is probed, with waits that grow, and then proved with few
-requests at a time before it takes its full share.
+suspect, and consecutive failures retire it; a crash or a response to another request
+retires it immediately. A retired instance is probed with exponential backoff, and then
+proved with limited concurrency before it takes its full share.
 """
 
 from __future__ import annotations
@@ -15,57 +15,57 @@
 from .chart import LifeCycle
 
 FAILURES_TO_RETIRE: Final = 3
-"""Failures in a row that retire an instance."""
+"""Consecutive failures that retire an instance."""
 
 SUCCESSES_TO_PROVE: Final = 3
-"""Successes in a row that make a proving instance healthy."""
+"""Consecutive successes that make a proving instance healthy."""
 
-PROVING_CONCURRENT: Final = 1
-"""Requests at a time on an instance that is being proved."""
+MAX_PROVING_REQUESTS: Final = 1
+"""Maximum concurrent requests on a proving instance."""
 
-FIRST_PROBE_S: Final = 0.25
-"""Wait before the first probe of a retired instance."""
+INITIAL_PROBE_DELAY_S: Final = 0.25
+"""Maximum delay before the first probe of a retired instance."""
 
-MAX_PROBE_S: Final = 10.0
-"""Longest wait between two probes."""
+MAX_PROBE_DELAY_S: Final = 10.0
+"""Maximum delay between two probes."""
 
 
 class Verdict(Enum):
-    """Say what an attempt showed about the instance."""
+    """Outcome of an attempt, as health checking distinguishes it."""
 
     SUCCESS = "success"
     FAILURE = "failure"
-    """It broke, stayed silent or failed; a cut on the way looks the same."""
+    """The connection broke or stalled, or the upstream or the network failed."""
     CONDEMNED = "condemned"
-    """It crashed, or gave an answer that was not its to give."""
+    """The instance crashed, or sent a response to another request."""
 
 
 class InstanceHealth:
-    """Follow the health of one instance."""
+    """Health of one upstream instance."""
 
     def __init__(self) -> None:
         self._cycle = LifeCycle("upstream_health")
         self._n_failures = 0
         self._n_successes = 0
         self._n_probes = 0
-        self._probe_at = 0.0
+        self._next_probe_at = 0.0
 
     @property
     def state(self) -> str:
-        """The name of the state in the chart."""
+        """Name of the current state in the chart."""
         return self._cycle.state
 
     @property
     def is_retired(self) -> bool:
-        """Whether the instance takes no requests."""
+        """Whether the instance gets no requests."""
         return self._cycle.state == "retired"
 
     def has_room(self, n_in_flight: int) -> bool:
-        """Return whether one more request may go there, by its health alone."""
-        return self.state != "proving" or n_in_flight < PROVING_CONCURRENT
+        """Return whether the health state allows one more concurrent request."""
+        return self.state != "proving" or n_in_flight < MAX_PROVING_REQUESTS
 
     def record(self, verdict: Verdict, now: float, rng: random.Random) -> bool:
-        """Take an attempt into account; return whether the state changed."""
+        """Record the outcome of an attempt; return whether the state changed."""
         if verdict is Verdict.SUCCESS:
             return self._succeed()
         self._n_successes = 0
@@ -74,17 +74,17 @@
         changed = self._fail(verdict)
         if self.is_retired and not was_retired:
             self._n_probes = 0
-            self._plan_probe(now, rng)
+            self._schedule_probe(now, rng)
         return changed
 
     def wants_probe(self, now: float) -> bool:
-        """Return whether a retired instance is to be asked whether it is back."""
-        return self.is_retired and now >= self._probe_at
+        """Return whether a probe of the retired instance is due."""
+        return self.is_retired and now >= self._next_probe_at
 
     def record_probe(self, answered: bool, now: float, rng: random.Random) -> bool:
-        """Take a probe into account; return whether the state changed."""
+        """Record the result of a probe; return whether the state changed."""
         if not answered:
-            self._plan_probe(now, rng)
+            self._schedule_probe(now, rng)
             return False
         self._n_successes = 0
         return self._cycle.send("probe_answered")
@@ -103,7 +103,7 @@
             return self._cycle.send("failed_again")
         return self._cycle.send("failed")
 
-    def _plan_probe(self, now: float, rng: random.Random) -> None:
-        longest = min(MAX_PROBE_S, FIRST_PROBE_S * 2**self._n_probes)
+    def _schedule_probe(self, now: float, rng: random.Random) -> None:
+        max_delay_s = min(MAX_PROBE_DELAY_S, INITIAL_PROBE_DELAY_S * 2**self._n_probes)
         self._n_probes += 1
-        self._probe_at = now + rng.uniform(longest / 2, longest)
+        self._next_probe_at = now + rng.uniform(max_delay_s / 2, max_delay_s)
--- a/packages/corianderlb-core/src/corianderlb_core/lease.py
+++ b/packages/corianderlb-core/src/corianderlb_core/lease.py
@@ -1,9 +1,10 @@
-"""Decide who may give orders to an upstream, from a record in the platform's store.
+"""Lease on sending orders to an upstream, as a record in the platform's store.
 
-Routers' clocks are not compared. The holder counts its time from before it sent its
-last renewal. Another router counts from when it first saw the record as it is now, so
-it never finds the lease lapsed before the holder itself has stopped. Each change of
-holder makes the fencing token one larger, and the record is never deleted.
+The protocol does not compare the clocks of routers. The holder measures the lease from
+before it sent its last renewal; other routers measure it from when they first read the
+current version of the record. So the lease never expires for another router before the
+holder has stopped. Each change of holder increments the fencing token, and the record
+is never deleted.
 """
 
 from __future__ import annotations
@@ -20,36 +21,36 @@
 from .settings import OrderSettings
 
 MAX_DONE: Final = 8
-"""Outcomes that the record keeps."""
+"""Maximum number of outcomes kept in the record."""
 
 NOBODY: Final = InstanceId("")
-"""The holder of a lease that was given back."""
+"""Holder of a released lease."""
 
 
 class LeaseLostError(CorianderError):
-    """Signal that this router may not act under the lease any more."""
+    """This router no longer holds the lease."""
 
     code = ResultCode.LEASE_LOST
 
 
 @dataclass(frozen=True)
 class LeaseRecord:
-    """Hold the lease as it is stored, with the order that may be under way."""
+    """The lease as stored, with the order that may be in progress."""
 
     token: int
     holder: InstanceId = NOBODY
     epoch: int = 0
-    """Of the holder's life."""
+    """Epoch of the holder's incarnation."""
     renewal: int = 0
     catalogue_version: int = 0
-    """Newest version that an order was given under; nobody goes below it."""
+    """Newest catalogue version of any order; later orders never use an older one."""
     intent: Order | None = None
-    """The order that is being given; written before its first byte is sent."""
+    """The order in progress; stored before its first byte is sent."""
     done: tuple[OrderOutcome, ...] = ()
-    """The last orders, oldest first."""
+    """Outcomes of the last orders, oldest first."""
     is_settling: bool = False
-    """Whether orders of an earlier holder may still arrive. The holder may start again
-    and forget that it waits for them."""
+    """Whether orders of an earlier holder may still arrive. Stored, because the holder
+    may restart while it waits for them."""
 
     def taken_by(self, holder: InstanceId, epoch: int, least_token: int) -> LeaseRecord:
         """Return the record after a change of holder."""
@@ -59,47 +60,47 @@
         )
 
     def renewed(self) -> LeaseRecord:
-        """Return the record with a longer life."""
+        """Return the record with the lease renewed."""
         return dataclasses.replace(self, renewal=self.renewal + 1)
 
     def intending(self, order: Order) -> LeaseRecord:
-        """Return the record that names an order before it is sent."""
+        """Return the record to store before an order is sent."""
         version = max(self.catalogue_version, order.catalogue_version)
         return dataclasses.replace(
             self.renewed(), intent=order, catalogue_version=version
         )
 
     def with_outcome(self, outcome: OrderOutcome) -> LeaseRecord:
-        """Return the record after an order has ended."""
+        """Return the record after an order has completed or failed."""
         done = (*self.done, outcome)[-MAX_DONE:]
         return dataclasses.replace(self.renewed(), intent=None, done=done)
 
     def released(self) -> LeaseRecord:
-        """Return the record of a lease that was given back; nothing is under way."""
+        """Return the record of a released lease, without an order in progress."""
         return dataclasses.replace(self.renewed(), holder=NOBODY, intent=None)
 
     def is_of(self, holder: InstanceId, epoch: int) -> bool:
-        """Return whether a life of a router holds it."""
+        """Return whether this incarnation of a router holds the lease."""
         return self.holder == holder and self.epoch == epoch
 
 
 @dataclass
 class LeaseWatch:
-    """Tell when somebody else's lease has lapsed, by this router's clock alone."""
+    """Watch for the expiry of another router's lease, on this router's clock."""
 
     version: str = ""
     first_seen: float = -math.inf
 
     def see(self, version: str, now: float) -> None:
-        """Take note of the record's version."""
+        """Record the version of the stored record."""
         if version != self.version:
             self.version = version
             self.first_seen = now
 
     def lapses_at(self, terms: OrderSettings) -> float:
-        """Return when the holder must have stopped, if nothing newer is seen."""
+        """Return when the holder must have stopped, unless it renews the lease."""
         return self.first_seen + terms.lease_s + terms.margin_s
 
     def sends_until(self, terms: OrderSettings) -> float:
-        """Return when the holder must have begun to send its last order."""
+        """Return the latest time at which the holder can start to send an order."""
         return self.first_seen + terms.lease_s - terms.send_s
--- a/packages/corianderlb-core/src/corianderlb_core/membership.py
+++ b/packages/corianderlb-core/src/corianderlb_core/membership.py
@@ -1,9 +1,9 @@
-"""Know which routers live, from the platform's lagging list and from heartbeats.
+"""Track the live routers from heartbeats and the platform's instance list.
 
-What is known of a router belongs to one life of it, its epoch. The list may name
-routers that are long gone, and old word of a router may arrive after newer word; so an
-older epoch, heartbeat or list never replaces a newer one, and a life that is leaving
-stays leaving.
+State belongs to one incarnation of a router, identified by its epoch. The platform's
+list lags and may name routers that have stopped, and updates can arrive out of order.
+An older epoch, heartbeat or list therefore never replaces a newer one, and an
+incarnation that is leaving stays leaving.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 from .message import MemberState, Suspicion
 
 MAX_GAP_S: Final = 3.0
-"""Longest time between two looks that does not count as a pause, unless told."""
+"""Default for the longest interval between two checks that is not a pause."""
 
 FORGET_AFTER_S: Final = 600.0
-"""How long a suspected router that the list does not name is still tried."""
+"""Time for which a suspected router that is not in the platform's list is retried."""
 
-N_SPREADS: Final = 8
-"""Heartbeats that carry a piece of news on; about twice the diameter of the overlay."""
+N_ANNOUNCEMENTS: Final = 8
+"""Heartbeats that repeat an announcement; about twice the diameter of the overlay."""
 
 
 class Learned(Enum):
-    """Tell what a word about a router was worth."""
+    """Effect of merging an announcement about a router."""
 
-    NOTHING = "nothing"
-    """Old or known."""
-    FRESH = "fresh"
-    """A later heartbeat of a router that is known to live."""
+    IGNORED = "nothing"
+    """Stale or already known."""
+    HEARTBEAT = "fresh"
+    """A later heartbeat of a live router."""
     NEWS = "news"
-    """Something that other routers should hear of."""
+    """A change that is announced to other routers."""
 
 
 @dataclass
 class _Known:
     state: MemberState
-    heard: bool = True
-    """False for a router that only the platform's list has told of."""
+    is_known_from_peers: bool = True
+    """False for a router known only from the platform's list."""
     suspected_since: float | None = None
-    out_of_reach_since: float | None = None
+    unreachable_since: float | None = None
 
 
 class Membership:
-    """Hold the members as this router knows them; time comes in as ``now``.
+    """Membership of the fleet as seen by this router.
 
-    For example ``hear(state, now)`` takes a peer's word, and ``members()`` then lists
-    the router unless it is suspected.
+    ``hear(state, now)`` merges an announcement from a peer, and ``members()`` then
+    lists the router unless it is suspected. ``now`` is this router's clock in seconds.
     """
 
     def __init__(
@@ -67,22 +67,23 @@
         self._known: dict[InstanceId, _Known] = {}
         self._listed: dict[InstanceId, InstanceRecord] = {}
         self._list_revision = -1
-        self._looked_at: float | None = None
-        self._news: dict[InstanceId, int] = {}
+        self._checked_at: float | None = None
+        self._n_sends_left: dict[InstanceId, int] = {}
         self.newer_self: int | None = None
-        """Epoch of a newer life of this router that others know of, if there is one.
+        """Epoch of a newer incarnation of this router that peers know of, or None.
 
-        The others then ignore what this one says. It happens when the clock of the
-        instance went back between two starts; a start with the right clock mends it.
+        Peers ignore the announcements of this incarnation then. This happens when the
+        clock of the instance went back between two starts; a restart with the correct
+        clock repairs it.
         """
 
     @property
     def own(self) -> MemberState:
-        """This router as the others see it."""
+        """The state that this router announces about itself."""
         return self._own
 
     def beat(self, catalogue_version: int, in_force_since: str) -> MemberState:
-        """Count one more heartbeat of this router and return its state."""
+        """Increment this router's heartbeat and return its state."""
         self._own = dataclasses.replace(
             self._own,
             heartbeat=self._own.heartbeat + 1,
@@ -92,124 +93,130 @@
         return self._own
 
     def set_addresses(self, address: str, peer_address: str) -> None:
-        """Note where this router is reached."""
+        """Set and announce the addresses of this router."""
         self._own = dataclasses.replace(
             self._own, address=address, peer_address=peer_address
         )
-        self._spread(self._own.instance)
+        self._schedule_announcement(self._own.instance)
 
     def leave(self) -> None:
-        """Note that this router is leaving; there is no way back in this life."""
+        """Announce that this router is leaving, which is final for this incarnation."""
         self._own = dataclasses.replace(self._own, presence=Presence.LEAVING)
-        self._spread(self._own.instance)
+        self._schedule_announcement(self._own.instance)
 
     def members(self) -> tuple[MemberState, ...]:
-        """Return the routers thought to run, this one included, by name.
+        """Return the routers presumed to run, including this one, sorted by name.
 
-        One that is leaving is among them until it has gone, since it still finishes
-        its requests; take those whose presence is LIVE for new duties.
+        A leaving router is included until it stops, since it still finishes its
+        requests. Assign new responsibilities only to routers whose presence is LIVE.
         """
         running = [
-            self._with_list(known.state)
+            self._with_listed_presence(known.state)
             for known in self._known.values()
-            if known.heard and known.suspected_since is None
+            if known.is_known_from_peers and known.suspected_since is None
         ]
         return tuple(sorted([self._own, *running], key=lambda item: item.instance))
 
     def state_of(self, instance: InstanceId) -> MemberState | None:
-        """Return what is known of a router, suspected or not."""
+        """Return the last known state of a router, suspected or not."""
         known = self._known.get(instance)
         return known.state if known else None
 
     def candidates(self) -> tuple[MemberState, ...]:
-        """Return the routers a link may be kept to: members, and listed ones unheard.
+        """Return the routers to link to: members, and routers known only from the list.
 
-        A fresh router knows nobody but from the list. A listed one that cannot be
-        reached is left out like a suspected member: the list names the dead for long,
-        and each of them would take the place of a link that works.
+        A router that has just started knows other routers only from the list. An
+        unreachable listed router is left out like a suspected member: the list keeps
+        stopped routers for long, and each would displace a working link.
         """
         return tuple(
-            self._with_list(known.state)
+            self._with_listed_presence(known.state)
             for known in self._known.values()
             if known.suspected_since is None
         )
 
     def lost(self) -> tuple[MemberState, ...]:
-        """Return the suspected routers, which are worth a try now and then.
+        """Return the suspected routers, to be retried occasionally.
 
-        Two regions that lost each other suspect each other as a whole; without a try
-        they would stay apart after the way is back.
+        After a network partition both sides suspect each other; without retries they
+        would stay separated once the network is repaired.
         """
         return tuple(
-            self._with_list(known.state)
+            self._with_listed_presence(known.state)
             for known in self._known.values()
             if known.suspected_since is not None
         )
 
     def hear(self, state: MemberState, now: float) -> Learned:
-        """Take a word about a router, from itself or through others."""
+        """Merge the state of a router, received from itself or from a peer."""
         if state.instance == self._own.instance:
-            return self._hear_of_self(state)
+            return self._merge_own_state(state)
         known = self._known.get(state.instance)
-        if known is None or not known.heard:
+        if known is None or not known.is_known_from_peers:
             self._known[state.instance] = _Known(state)
-            self._spread(state.instance)
+            self._schedule_announcement(state.instance)
             return Learned.NEWS
         before = known.state
-        if state.epoch == before.epoch and _left(state, before):
-            # Leaving is final for this life, also when a later heartbeat came first.
+        if state.epoch == before.epoch and _is_leaving(state, before):
+            # Leaving is final for an incarnation, even if a later heartbeat came first.
             state = dataclasses.replace(
                 state,
                 presence=Presence.LEAVING,
                 heartbeat=max(state.heartbeat, before.heartbeat),
             )
-        elif _age(state) <= _age(before):
-            return Learned.NOTHING
+        elif _sequence(state) <= _sequence(before):
+            return Learned.IGNORED
         if state == before:
-            return Learned.NOTHING
-        revived = known.suspected_since is not None and _age(state) > _age(before)
+            return Learned.IGNORED
+        revived = known.suspected_since is not None and _sequence(state) > _sequence(
+            before
+        )
         known.state = state
         if revived:
             known.suspected_since = None
-        if revived or _news_in(state, before):
-            self._spread(state.instance)
+        if revived or _is_membership_change(state, before):
+            self._schedule_announcement(state.instance)
             return Learned.NEWS
-        return Learned.FRESH
+        return Learned.HEARTBEAT
 
     def hear_heartbeat(
         self, instance: InstanceId, epoch: int, heartbeat: int, version: int, now: float
     ) -> Learned:
-        """Take a heartbeat over a direct link of a router that is known."""
+        """Merge a heartbeat that a known router sent over a direct link."""
         known = self._known.get(instance)
         if known is None or known.state.epoch != epoch:
-            return Learned.NOTHING
+            return Learned.IGNORED
         state = dataclasses.replace(
             known.state, heartbeat=heartbeat, catalogue_version=version
         )
         return self.hear(state, now)
 
     def hear_suspicion(self, suspicion: Suspicion, now: float) -> Learned:
-        """Take a peer's word that a router does not answer."""
+        """Merge a peer's report that a router does not answer."""
         if suspicion.instance == self._own.instance:
             if suspicion.epoch != self._own.epoch:
-                return Learned.NOTHING
-            # Others would take this router out of their members; a heartbeat later
-            # than the one in the accusation brings it back everywhere.
+                return Learned.IGNORED
+            # Peers would remove this router from their members. A heartbeat later than
+            # the one in the suspicion refutes it.
             heartbeat = max(self._own.heartbeat, suspicion.heartbeat) + 1
             self._own = dataclasses.replace(self._own, heartbeat=heartbeat)
-            self._spread(self._own.instance)
+            self._schedule_announcement(self._own.instance)
             return Learned.NEWS
         known = self._known.get(suspicion.instance)
-        if known is None or not known.heard or known.suspected_since is not None:
-            return Learned.NOTHING
-        if (suspicion.epoch, suspicion.heartbeat) < _age(known.state):
-            return Learned.NOTHING
+        if (
+            known is None
+            or not known.is_known_from_peers
+            or known.suspected_since is not None
+        ):
+            return Learned.IGNORED
+        if (suspicion.epoch, suspicion.heartbeat) < _sequence(known.state):
+            return Learned.IGNORED
         known.suspected_since = now
-        self._spread(suspicion.instance)
+        self._schedule_announcement(suspicion.instance)
         return Learned.NEWS
 
     def take_list(self, revision: int, records: Iterable[InstanceRecord]) -> bool:
-        """Take the platform's list; return False for one older than the last."""
+        """Merge the platform's list; return False if it is older than the last one."""
         if revision < self._list_revision:
             return False
         self._list_revision = revision
@@ -218,62 +225,64 @@
             for record in records
             if record.role is Role.ROUTER and record.instance != self._own.instance
         }
-        self._know_listed()
+        self._merge_listed()
         return True
 
     def in_reach(self, instance: InstanceId) -> None:
-        """Note that a link to a router works."""
+        """Record that a link to a router works."""
         known = self._known.get(instance)
         if known is not None:
-            known.out_of_reach_since = None
+            known.unreachable_since = None
 
     def out_of_reach(self, instance: InstanceId, now: float) -> None:
-        """Note that a link to a router broke or could not be made."""
+        """Record that a link to a router broke or could not be opened."""
         known = self._known.get(instance)
-        if known is not None and known.out_of_reach_since is None:
-            known.out_of_reach_since = now
+        if known is not None and known.unreachable_since is None:
+            known.unreachable_since = now
 
     def look(self, now: float) -> bool:
-        """Suspect routers out of reach for too long; return whether it was on time.
+        """Suspect routers unreachable for too long; return False after a pause.
 
-        A router that was stopped for a minute finds all its links silent at once. It
-        would take every other for dead, and hand out their duties, though it was the
-        one that slept. So after a pause all waits start anew.
+        A process that was suspended finds all its links timed out at once. It would
+        suspect every other router and take over their work, so after a pause of this
+        process all timeouts restart.
         """
-        late = self._looked_at is not None and now - self._looked_at > self._max_gap_s
-        self._looked_at = now
+        was_paused = (
+            self._checked_at is not None and now - self._checked_at > self._max_gap_s
+        )
+        self._checked_at = now
         for known in self._known.values():
-            if known.out_of_reach_since is None:
+            if known.unreachable_since is None:
                 continue
-            if late:
-                known.out_of_reach_since = now
-            elif now - known.out_of_reach_since >= self._suspect_after_s:
+            if was_paused:
+                known.unreachable_since = now
+            elif now - known.unreachable_since >= self._suspect_after_s:
                 self._suspect(known, now)
         self._forget(now)
-        return not late
+        return not was_paused
 
     def news(
         self, rng: random.Random, n_random: int = 0
     ) -> tuple[list[MemberState], list[Suspicion]]:
-        """Return what the next heartbeats should carry, and count it as carried.
+        """Return the announcements for the next heartbeat, and count them as sent.
 
-        ``n_random`` members come on top, which mends what got lost on the way.
+        ``n_random`` further members are added, to repair lost announcements.
         """
-        names = list(self._news)
+        names = list(self._n_sends_left)
         for name in names:
-            self._news[name] -= 1
-            if self._news[name] <= 0:
-                del self._news[name]
+            self._n_sends_left[name] -= 1
+            if self._n_sends_left[name] <= 0:
+                del self._n_sends_left[name]
         others = [
             name
             for name, known in self._known.items()
-            if known.heard and name not in names
+            if known.is_known_from_peers and name not in names
         ]
         names += rng.sample(others, min(n_random, len(others)))
         return self._split(names)
 
     def everything(self) -> tuple[list[MemberState], list[Suspicion]]:
-        """Return all that is known, for a link that just opened."""
+        """Return the full state, for a link that has just opened."""
         return self._split([self._own.instance, *self._known])
 
     def _split(
@@ -285,7 +294,7 @@
             known = self._known.get(name)
             if name == self._own.instance:
                 states.append(self._own)
-            elif known is not None and known.heard:
+            elif known is not None and known.is_known_from_peers:
                 states.append(known.state)
                 if known.suspected_since is not None:
                     suspected.append(_suspicion(known.state))
@@ -294,20 +303,24 @@
     def _suspect(self, known: _Known, now: float) -> None:
         if known.suspected_since is None:
             known.suspected_since = now
-            if known.heard:
-                self._spread(known.state.instance)
+            if known.is_known_from_peers:
+                self._schedule_announcement(known.state.instance)
 
-    def _know_listed(self) -> None:
-        """Add the routers that only the list tells of; drop those it tells no more."""
-        unheard = [name for name, known in self._known.items() if not known.heard]
-        for name in unheard:
+    def _merge_listed(self) -> None:
+        """Add routers known only from the list; remove those no longer in it."""
+        list_only = [
+            name for name, known in self._known.items() if not known.is_known_from_peers
+        ]
+        for name in list_only:
             if name not in self._listed:
                 del self._known[name]
         for name, record in self._listed.items():
             known = self._known.get(name)
             if known is None:
-                self._known[name] = _Known(_state_of_record(record), heard=False)
-            elif not known.heard:
+                self._known[name] = _Known(
+                    _state_of_record(record), is_known_from_peers=False
+                )
+            elif not known.is_known_from_peers:
                 known.state = _state_of_record(record)
 
     def _forget(self, now: float) -> None:
@@ -317,39 +330,39 @@
                 continue
             if now - since >= FORGET_AFTER_S:
                 del self._known[name]
-                self._news.pop(name, None)
+                self._n_sends_left.pop(name, None)
 
-    def _hear_of_self(self, state: MemberState) -> Learned:
-        """Outdo an old word about this router that still goes round."""
+    def _merge_own_state(self, state: MemberState) -> Learned:
+        """Exceed a later heartbeat of this incarnation that peers announce."""
         if state.epoch > self._own.epoch:
             self.newer_self = state.epoch
-        if _age(state) <= _age(self._own) or state.epoch != self._own.epoch:
-            return Learned.NOTHING
+        if _sequence(state) <= _sequence(self._own) or state.epoch != self._own.epoch:
+            return Learned.IGNORED
         self._own = dataclasses.replace(self._own, heartbeat=state.heartbeat + 1)
-        self._spread(self._own.instance)
+        self._schedule_announcement(self._own.instance)
         return Learned.NEWS
 
-    def _with_list(self, state: MemberState) -> MemberState:
-        """Return the state, leaving if the platform's list says so."""
+    def _with_listed_presence(self, state: MemberState) -> MemberState:
+        """Return the state, with presence LEAVING if the platform's list has it."""
         record = self._listed.get(state.instance)
         if record is not None and record.presence is Presence.LEAVING:
             return dataclasses.replace(state, presence=Presence.LEAVING)
         return state
 
-    def _spread(self, instance: InstanceId) -> None:
-        self._news[instance] = N_SPREADS
+    def _schedule_announcement(self, instance: InstanceId) -> None:
+        self._n_sends_left[instance] = N_ANNOUNCEMENTS
 
 
-def _age(state: MemberState) -> tuple[int, int]:
+def _sequence(state: MemberState) -> tuple[int, int]:
     return state.epoch, state.heartbeat
 
 
-def _left(state: MemberState, before: MemberState) -> bool:
+def _is_leaving(state: MemberState, before: MemberState) -> bool:
     return Presence.LEAVING in (state.presence, before.presence)
 
 
-def _news_in(state: MemberState, before: MemberState) -> bool:
-    """Tell whether others should hear of it, more than of one more heartbeat."""
+def _is_membership_change(state: MemberState, before: MemberState) -> bool:
+    """Return whether a state differs in more than the heartbeat, and is announced."""
     return state.epoch != before.epoch or state.presence is not before.presence
 
 
--- a/packages/corianderlb-core/src/corianderlb_core/named_versions.py
+++ b/packages/corianderlb-core/src/corianderlb_core/named_versions.py
@@ -1,14 +1,13 @@
-"""Keep when the versions of a model's weights were named.
+"""Record when each weights version of a model was named as the newest.
 
-Users bound how long after a newer version was named an answer may begin on an older
-one. That time runs from the store's acknowledgement, which the store does not date.
-A router that follows the store sees a naming as it happens. One that started later,
-or was out of touch, knows only when it last saw that there was nothing newer; peers
-that saw the naming tell it how long ago that was.
+A response may start on an older version only for a limited time after a newer one is
+named. The time runs from the store's acknowledgement, which carries no timestamp. A
+router that follows the store observes each naming as it happens. A router that started
+later or lost its connection knows only when it last read that there was no newer
+version, and learns the age of the naming from peers that observed it.
 
-For example, after ``note(Naming(3, 10.0, after=2))`` the weights of version 2 count as
-replaced at 10.0, those of version 1 as replaced nobody knows when, and those of version
-3 as the newest.
+For example, after ``note(Naming(3, 10.0, after=2))`` version 2 was replaced at 10.0,
+version 1 at an unknown time, and version 3 is the newest.
 """
 
 from __future__ import annotations
@@ -19,38 +18,38 @@
 from typing import Final
 
 MAX_NAMED: Final = 32
-"""Versions of a model whose naming is remembered: more than engines are ever behind."""
+"""Maximum number of namings kept for a model."""
 
 
 @dataclass(frozen=True)
 class Naming:
-    """Hold when a version was named, by the router's clock."""
+    """Time at which a version was named, on this router's clock."""
 
     version: int
     at: float
     after: int = 0
-    """The version that was the newest until then; 0 when there was none."""
+    """The newest version before; 0 if there was none."""
     is_exact: bool = True
-    """Whether some router saw it as it happened. Otherwise ``at`` is the earliest
-    moment at which ``after`` can have been replaced."""
+    """Whether a router observed the naming. Otherwise ``at`` is the earliest time at
+    which ``after`` can have been replaced."""
 
 
 class NamedVersions:
-    """Hold the newest versions of one model, each with when it was named."""
+    """History of the newest versions of one model."""
 
     def __init__(self) -> None:
         self._namings: list[Naming] = []
-        """By version, oldest first."""
+        """Sorted by version."""
 
     @property
     def newest(self) -> int:
-        """The newest version; 0 when none is known."""
+        """The newest version; 0 if none is known."""
         return self._namings[-1].version if self._namings else 0
 
     def note(self, naming: Naming) -> bool:
-        """Take note of a naming; return whether it changed what is known.
+        """Record a naming; return whether the history changed.
 
-        Of two exact times the earlier one counts: word of a naming takes its time.
+        Of two exact times the earlier one is kept, since announcements arrive late.
         """
         index = bisect_right(self._namings, naming.version, key=_version)
         known = self._namings[index - 1] if index else None
@@ -66,8 +65,8 @@
     def replaced_at(self, version: int) -> float:
         """Return when a version was replaced; infinite for the newest.
 
-        Where a naming is missing that came in between, it may have come as early as
-        that of the version itself, or at any time if that is not known either.
+        If the naming of the next version is missing, this is the earliest possible
+        time: when ``version`` itself was named, or minus infinity if that is unknown.
         """
         index = bisect_right(self._namings, version, key=_version)
         if index == len(self._namings):
@@ -79,12 +78,12 @@
         return own.at if own is not None and own.version == version else -math.inf
 
     def exact(self, since: float) -> list[Naming]:
-        """Return the namings since a moment that some router saw."""
+        """Return the namings after ``since`` that a router observed."""
         return [known for known in self._namings if known.is_exact and known.at > since]
 
     @property
     def is_newest_exact(self) -> bool:
-        """Whether some router saw the naming of the newest version."""
+        """Whether a router observed the naming of the newest version."""
         return bool(self._namings) and self._namings[-1].is_exact
 
 
--- a/packages/corianderlb-core/src/corianderlb_core/order.py
+++ b/packages/corianderlb-core/src/corianderlb_core/order.py
@@ -1,8 +1,8 @@
-"""Decide which order an engine upstream needs next.
+"""Derive the load orders for the engines of an upstream from the catalogue.
 
-Orders follow from the catalogue alone: an engine whose report names other weights than
-the catalogue gets an order to load them. So an order that was lost is simply given
-again, and one that was given twice does no harm.
+An engine whose report differs from the catalogue gets an order to load the weights that
+it lacks. Orders are idempotent: a lost order is sent again, and a duplicate is
+harmless.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .load import LoadReport
 
 MAX_LOADS: Final = 2
-"""Weight loads at once over the fleet; with more, each takes longer."""
+"""Maximum concurrent weight loads in the fleet; more would slow each other down."""
 
 
 class OrderKind(Enum):
-    """Name what an engine can be told to do, as the protocol spells it."""
+    """Kind of an order; values are those of the engine protocol."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -30,33 +30,33 @@
 
 @dataclass(frozen=True)
 class Order:
-    """Tell one engine to load something."""
+    """Order to one engine to load a model or an adapter, or to change its role."""
 
     order_id: str
     upstream: str
     instance: InstanceId
     epoch: int
-    """Of the engine's life that was read; a new life is read again."""
+    """Epoch of the engine's incarnation whose report led to the order."""
     kind: OrderKind
     name: str
     version: str
     catalogue_version: int
-    """Version that asked for it, for auditors."""
+    """Catalogue version that requires the order, for auditors."""
 
 
 @dataclass(frozen=True)
 class OrderOutcome:
-    """Hold how an order ended, for status and for auditors."""
+    """Outcome of an order, for status and auditors."""
 
     order: Order
     token: int
     state: str
-    """Last state of the chart ``order``."""
+    """Final state in the state chart ``order``."""
 
 
 @dataclass(frozen=True)
 class EngineState:
-    """Hold an engine's own word about itself."""
+    """An engine and its latest report."""
 
     instance: InstanceId
     address: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Need:
-    """Say what one engine lacks."""
+    """A model or adapter version that one engine lacks."""
 
     engine: EngineState
     kind: OrderKind
@@ -73,7 +73,7 @@
     version: str
 
     def as_order(self, order_id: str, upstream: str, version: int) -> Order:
-        """Return the order that meets the need."""
+        """Return the order that fulfils the need."""
         return Order(
             order_id,
             upstream,
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class LoadSlot:
-    """Stand for one weight load that may be under way."""
+    """Slot of one weight load that may be in progress."""
 
     upstream: str
     order_id: str
@@ -97,15 +97,15 @@
 
 @dataclass(frozen=True)
 class LoadSlots:
-    """Hold the weight loads of the whole fleet, as they are stored."""
+    """Weight loads in progress in the whole fleet, as stored."""
 
     slots: tuple[LoadSlot, ...] = ()
 
     def take(self, slot: LoadSlot, dropped: Sequence[str] = ()) -> LoadSlots | None:
-        """Return the slots with one more, or None when all are taken.
+        """Return the slots with one more, or None if all are taken.
 
-        An upstream has one at most: its next holder takes over what the last one left.
-        ``dropped`` names orders whose slots were held too long to be true.
+        An upstream has at most one slot, so a new lease holder replaces the slot of the
+        previous one. ``dropped`` names orders whose slots are overdue.
         """
         others = self.without(slot.upstream).slots
         others = tuple(held for held in others if held.order_id not in dropped)
@@ -120,12 +120,12 @@
 
 @dataclass
 class SlotWatch:
-    """Notice slots that nobody gives back, such as those of routers that died."""
+    """Watch for slots that are not released, such as those of crashed routers."""
 
     first_seen: Mapping[str, float] = field(default_factory=dict)
 
     def overdue(self, held: LoadSlots, timeout_s: float, now: float) -> list[str]:
-        """Return the orders whose slots were seen for longer than a load can take."""
+        """Return the orders whose slots were held for longer than ``timeout_s``."""
         self.first_seen = {
             slot.order_id: self.first_seen.get(slot.order_id, now)
             for slot in held.slots
@@ -136,10 +136,10 @@
 def needs(
     catalogue: Catalogue, upstream: str, engines: Sequence[EngineState]
 ) -> list[Need]:
-    """Return what the engines of an upstream lack, models before their adapters.
+    """Return the needs of the engines of an upstream, models before their adapters.
 
-    Engines that leave get no orders. One engine at a time gets all it lacks, so that
-    the others go on serving.
+    Leaving engines get no orders. The needs are grouped by engine, so that the other
+    engines keep serving while one loads.
     """
     found = []
     for engine in sorted(engines, key=lambda one: one.instance):
@@ -148,10 +148,10 @@
     return found
 
 
-def is_met(need_of: Order, report: LoadReport) -> bool:
-    """Return whether a report shows that an order was carried out."""
-    held = report.weights if need_of.kind is OrderKind.LOAD_MODEL else report.adapters
-    return (held or {}).get(need_of.name) == need_of.version
+def is_met(expected: Order, report: LoadReport) -> bool:
+    """Return whether a report shows that an order has completed."""
+    held = report.weights if expected.kind is OrderKind.LOAD_MODEL else report.adapters
+    return (held or {}).get(expected.name) == expected.version
 
 
 def _needs_of(engine: EngineState, catalogue: Catalogue, upstream: str) -> list[Need]:
@@ -161,17 +161,17 @@
         return []
     models = _models(catalogue, upstream)
     names = {model.name for model in models}
-    lacking = [
+    missing = [
         Need(engine, OrderKind.LOAD_MODEL, model.name, model.weights_version)
         for model in models
         if weights.get(model.name) != model.weights_version
     ]
-    lacking += [
+    missing += [
         Need(engine, OrderKind.LOAD_ADAPTER, adapter.name, adapter.version)
         for adapter in _adapters(catalogue)
         if adapter.model in names and adapters.get(adapter.name) != adapter.version
     ]
-    return lacking
+    return missing
 
 
 def _models(catalogue: Catalogue, upstream: str) -> list[Model]:
--- a/packages/corianderlb-core/tests/test_membership.py
+++ b/packages/corianderlb-core/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Old word about a router never replaces newer word, and a sleeper accuses nobody."""
+"""Test ordering of membership updates, suspicions and the choice of links."""
 
 from __future__ import annotations
 
@@ -42,17 +42,14 @@
         found = {state.instance: state for state in self.membership.members()}
         return found[InstanceId(name)].presence
 
-    def test_older_life_never_replaces_newer(self) -> None:
+    def test_older_incarnation_never_replaces_newer(self) -> None:
         self.membership.hear(a_member(epoch=2), 0.0)
         late = a_member(epoch=1, heartbeat=99)
-        self.assertIs(self.membership.hear(late, 1.0), Learned.NOTHING)
+        self.assertIs(self.membership.hear(late, 1.0), Learned.IGNORED)
         self.assertEqual(self.membership.state_of(InstanceId("r2")).epoch, 2)
 
-    def test_leaving_is_final_for_a_life(self) -> None:
-        """A router says it leaves; an older word that it lives comes round later.
-
-        Taking that word would give a router that is about to stop new duties.
-        """
+    def test_leaving_is_final_for_an_incarnation(self) -> None:
+        """Guards against new work for a leaving router after a stale LIVE state."""
         leaving = a_member(heartbeat=5, presence=Presence.LEAVING)
         self.membership.hear(leaving, 0.0)
         for heartbeat in (4, 6):
@@ -61,29 +58,26 @@
         self.membership.hear(a_member(epoch=2), 2.0)
         self.assertIs(self.presence(), Presence.LIVE)
 
-    def test_leaving_word_that_came_late_counts(self) -> None:
+    def test_late_leaving_announcement_is_merged(self) -> None:
         self.membership.hear(a_member(heartbeat=9), 0.0)
         late = a_member(heartbeat=5, presence=Presence.LEAVING)
         self.assertIs(self.membership.hear(late, 1.0), Learned.NEWS)
         self.assertIs(self.presence(), Presence.LEAVING)
 
     def test_older_list_never_replaces_newer(self) -> None:
-        """The platform answers with a list from before a router was told to go."""
+        """Guards against a stale list that revives a leaving router."""
         self.membership.hear(a_member(), 0.0)
         self.membership.take_list(7, [a_record(presence=Presence.LEAVING)])
         self.assertFalse(self.membership.take_list(6, [a_record()]))
         self.assertIs(self.presence(), Presence.LEAVING)
 
-    def test_unheard_routers_of_the_list_are_only_candidates(self) -> None:
+    def test_routers_known_only_from_the_list_are_only_candidates(self) -> None:
         self.membership.take_list(1, [a_record("r9")])
         self.assertEqual(names(self.membership), ["r1"])
         self.assertEqual([s.instance for s in self.membership.candidates()], ["r9"])
 
-    def test_dead_router_of_the_list_is_no_candidate(self) -> None:
-        """The platform's list names a router that died before this one started.
-
-        It would stay among the links to keep, in the place of one that works.
-        """
+    def test_unreachable_router_of_the_list_is_no_candidate(self) -> None:
+        """Guards against a stopped router in the list that displaces a working link."""
         self.membership.take_list(1, [a_record("r9")])
         self.membership.out_of_reach(InstanceId("r9"), 0.0)
         for second in range(6):
@@ -92,7 +86,7 @@
         self.assertEqual([s.instance for s in self.membership.lost()], ["r9"])
         self.assertEqual(self.membership.everything()[1], [])
 
-    def test_out_of_reach_is_suspected_and_refuted(self) -> None:
+    def test_unreachable_router_is_suspected_until_a_newer_heartbeat(self) -> None:
         self.membership.hear(a_member(heartbeat=3), 0.0)
         self.membership.out_of_reach(InstanceId("r2"), 0.0)
         for second in range(5):
@@ -107,26 +101,19 @@
         self.membership.hear(a_member(heartbeat=4), 6.0)
         self.assertEqual(names(self.membership), ["r1", "r2"])
 
-    def test_accused_router_outdoes_the_accusation(self) -> None:
+    def test_suspected_router_refutes_the_suspicion(self) -> None:
         self.membership.hear_suspicion(Suspicion(InstanceId("r1"), 1, 40), 0.0)
         states, _ = self.membership.news(random.Random(1))
         self.assertEqual((states[0].instance, states[0].heartbeat), ("r1", 41))
 
-    def test_life_with_a_clock_that_went_back_notices(self) -> None:
-        """A router restarts with a clock behind the one of its last life.
-
-        The others hold its word for old and ignore it, without a sign of their own.
-        """
+    def test_restart_with_a_clock_that_went_back_is_detected(self) -> None:
+        """Guards against a router whose announcements all peers silently ignore."""
         self.assertIsNone(self.membership.newer_self)
         self.membership.hear(a_member("r1", epoch=9), 0.0)
         self.assertEqual(self.membership.newer_self, 9)
 
-    def test_sleeper_accuses_nobody(self) -> None:
-        """A router is stopped for a minute, and finds all its links silent on waking.
-
-        Without notice of its own pause it would take all the others for dead, and
-        claim their accounts and orders for itself.
-        """
+    def test_paused_router_suspects_no_other(self) -> None:
+        """Guards against a suspended process that suspects all other routers."""
         for name in ("r2", "r3"):
             self.membership.hear(a_member(name), 0.0)
             self.membership.out_of_reach(InstanceId(name), 0.5)
@@ -137,7 +124,7 @@
 
 
 class OverlayTest(unittest.TestCase):
-    def test_overlay_joins_all_and_spans_zones(self) -> None:
+    def test_overlay_is_connected_and_spans_zones(self) -> None:
         members = [a_member(f"r{i:03d}", zone=f"z{i % 6}") for i in range(410)]
         links: dict[str, set[str]] = {member.instance: set() for member in members}
         for own in members:
--- a/packages/corianderlb-core/tests/test_named_versions.py
+++ b/packages/corianderlb-core/tests/test_named_versions.py
@@ -1,4 +1,4 @@
-"""When versions of weights were named, as far as a router can know."""
+"""Test when weights versions count as replaced."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 class NamedVersionsTest(unittest.TestCase):
     def a_history(self, *namings: Naming) -> NamedVersions:
-        """Build a history from namings in the order in which they became known."""
+        """Build a history from namings in the order of their arrival."""
         history = NamedVersions()
         for naming in namings:
             history.note(naming)
         return history
 
-    def test_seen_namings(self) -> None:
+    def test_observed_namings(self) -> None:
         history = self.a_history(Naming(1, 5.0), Naming(2, 9.0, after=1))
         self.assertEqual(history.newest, 2)
         self.assertEqual(
@@ -24,34 +24,34 @@
             [5.0, 9.0, math.inf],
         )
 
-    def test_version_before_the_first_that_is_known(self) -> None:
-        """Guards against dating a replacement by a later one."""
+    def test_version_before_the_first_known_one(self) -> None:
+        """Guards against the time of a later replacement."""
         history = self.a_history(Naming(4, 9.0, after=3))
         self.assertEqual(history.replaced_at(3), 9.0)
         self.assertEqual(history.replaced_at(2), -math.inf)
 
-    def test_naming_that_was_missed_in_between(self) -> None:
-        """Guards against the same where one naming of several is missing."""
+    def test_missing_naming_between_two_known_ones(self) -> None:
+        """Guards against the time of a later replacement where a naming is missing."""
         history = self.a_history(Naming(3, 5.0, after=2), Naming(5, 9.0, after=4))
         self.assertEqual(history.replaced_at(4), 9.0)
         self.assertEqual(history.replaced_at(3), 5.0)
         history.note(Naming(4, 7.0, after=3))
         self.assertEqual(history.replaced_at(3), 7.0)
 
-    def test_numbers_that_skip(self) -> None:
-        """Guards against distrust where the operator left a number out."""
+    def test_skipped_version_numbers(self) -> None:
+        """Guards against treating a skipped version number as a missing naming."""
         history = self.a_history(Naming(3, 5.0, after=2), Naming(5, 9.0, after=3))
         self.assertEqual(history.replaced_at(3), 9.0)
 
-    def test_earlier_of_two_exact_times_counts(self) -> None:
-        """Guards against an age that shrinks with each router that passes it on."""
+    def test_earlier_of_two_exact_times_is_kept(self) -> None:
+        """Guards against an age that shrinks with each router that forwards it."""
         history = self.a_history(Naming(2, 9.0, after=1))
         self.assertTrue(history.note(Naming(2, 8.9, after=1)))
         self.assertFalse(history.note(Naming(2, 9.1, after=1)))
         self.assertFalse(history.note(Naming(2, 1.0, after=1, is_exact=False)))
         self.assertEqual(history.replaced_at(1), 8.9)
 
-    def test_exact_time_replaces_an_earliest_one(self) -> None:
+    def test_exact_time_replaces_a_lower_bound(self) -> None:
         history = self.a_history(Naming(2, -math.inf, is_exact=False))
         self.assertEqual(history.replaced_at(1), -math.inf)
         history.note(Naming(2, 8.9, after=1))
@@ -59,7 +59,7 @@
         self.assertEqual(history.exact(since=8.0), [Naming(2, 8.9, after=1)])
         self.assertEqual(history.exact(since=9.0), [])
 
-    def test_time_that_nobody_saw_is_not_passed_on(self) -> None:
-        """Guards against an earliest time that peers would take for an exact one."""
+    def test_lower_bound_is_not_announced(self) -> None:
+        """Guards against a lower bound that peers would take for an exact time."""
         history = self.a_history(Naming(2, 9.0, after=1, is_exact=False))
         self.assertEqual(history.exact(since=8.0), [])
