--- a/packages/corianderlb-core/src/corianderlb_core/admission.py
+++ b/packages/corianderlb-core/src/corianderlb_core/admission.py
@@ -1,9 +1,8 @@
-"""Decide which waiting request an upstream gets next, and whom to refuse at once.
+"""Admission control for one upstream: queue requests or refuse them on arrival.
 
-A request that cannot be answered in time is refused when it arrives, with the time
-after which a place is expected, so that its caller can plan instead of waiting for a
-timeout. What waits is bounded in number, and each has its turn or is refused at its
-deadline.
+A request that cannot meet its deadline is refused on arrival with a Retry-After, so
+that its caller need not wait for a timeout. The queue length is bounded, and each
+queued request is either admitted or refused at its deadline.
 """
 
 from __future__ import annotations
@@ -18,57 +17,57 @@
 
 T = TypeVar("T")
 
-MIN_RETRY_S: Final = 0.2
-"""Shortest time that a refused caller is asked to stay away."""
+MIN_RETRY_AFTER_S: Final = 0.2
+"""Minimum Retry-After of a refusal."""
 
-FIRST_HOLD_S: Final = 0.5
-"""How long a request holds its place, before any was seen."""
+INITIAL_HOLD_S: Final = 0.5
+"""Initial estimate of how long a request holds its slot."""
 
 HOLD_SMOOTHING: Final = 0.1
-"""Weight of the newest request in the mean time that places are held."""
+"""Weight of the newest request in the moving average of the hold time."""
 
 
 @dataclass(frozen=True)
 class GateTerms:
-    """Tune the waiting at one upstream."""
+    """Queueing parameters of one upstream."""
 
     max_waiting: int = 512
-    """Requests that wait at most; more are refused at once."""
+    """Maximum queue length; further requests are refused on arrival."""
     standard_wait_s: float = 2.0
-    """Waiting after which standard requests get turns beside urgent ones."""
+    """Wait after which standard requests are overdue."""
     deferrable_wait_s: float = 15.0
-    """Waiting after which deferrable requests get turns beside all others."""
+    """Wait after which deferrable requests are overdue."""
     overdue_every: int = 4
-    """Every so many turns go to overdue requests, as long as there are any."""
+    """Every n-th admission goes to an overdue request, if there is one."""
 
 
 @dataclass
 class GateCounts:
-    """Count what happened at a gate since the router started."""
+    """Counters of a gate since the router started."""
 
     n_admitted: int = 0
     n_queued: int = 0
     n_refused: int = 0
     n_expired: int = 0
-    """Requests whose deadline passed while they waited."""
+    """Requests whose deadline passed in the queue."""
     n_left: int = 0
-    """Requests whose callers hung up while they waited."""
+    """Requests whose callers disconnected while queued."""
 
 
 @dataclass(eq=False)
 class Gate(Generic[T]):
-    """Hold the places that this router has at one upstream, and who waits for one.
+    """Concurrency slots of this router at one upstream, and the queue for them.
 
-    ``item`` is whatever the caller wants back when a turn comes. Every method is
-    passed ``now`` in seconds on the router's clock.
+    ``item`` is returned to the caller of the gate on admission. ``now`` is the router's
+    clock in seconds.
     """
 
     capacity: int
-    """Requests that may run at once."""
+    """Maximum number of concurrent requests."""
     terms: GateTerms = field(default_factory=GateTerms)
     n_running: int = 0
-    hold_s: float = FIRST_HOLD_S
-    """Mean time that a request holds its place."""
+    hold_s: float = INITIAL_HOLD_S
+    """Moving average of how long a request holds its slot."""
     counts: GateCounts = field(default_factory=GateCounts)
 
     def __post_init__(self) -> None:
@@ -79,7 +78,7 @@
         self.queue: FairQueue[T] = FairQueue(max_wait_s, self.terms.overdue_every)
 
     def wait_s(self, service_class: ServiceClass) -> float:
-        """Return the expected wait of a request of a class that arrives now."""
+        """Return the expected wait of a request of this class that arrives now."""
         if self.n_running < self.capacity and not len(self.queue):
             return 0.0
         return self._drain_s(self.queue.n_ahead(service_class) + 1)
@@ -87,64 +86,64 @@
     def offer(
         self, item: T, facts: RequestFacts, weight: float, service_s: float, now: float
     ) -> Ticket[T] | Refusal:
-        """Queue a request, or refuse it at once when its deadline cannot be met.
+        """Queue a request, or refuse it if the queue is full or its deadline too early.
 
-        ``service_s`` is the estimated time from its turn to its first byte.
+        ``service_s`` is the estimated time from admission to the first byte.
         """
         wait_s = self.wait_s(facts.service_class)
         late_s = now + wait_s + service_s - facts.deadline
         if late_s > 0:
             self.counts.n_refused += 1
-            return _unreachable(late_s, wait_s)
+            return _refuse_unreachable(late_s, wait_s)
         if len(self.queue) >= self.terms.max_waiting:
             self.counts.n_refused += 1
             return Refusal(
                 ResultCode.QUEUE_FULL,
-                f"{len(self.queue)} requests wait for {facts.upstream}; "
-                "come back after Retry-After",
-                max(MIN_RETRY_S, wait_s),
+                f"the queue for {facts.upstream} is full with {len(self.queue)} "
+                "requests; retry after the time in Retry-After",
+                max(MIN_RETRY_AFTER_S, wait_s),
             )
         return self.queue.push(item, facts.account, facts.service_class, now, weight)
 
     def next_turns(self, now: float) -> list[Ticket[T]]:
-        """Take those out of the queue whose turn it is; each holds a place now."""
-        turns = []
+        """Admit queued requests while slots are free, and return their tickets."""
+        admitted = []
         while self.n_running < self.capacity:
             ticket = self.queue.pop(now)
             if ticket is None:
                 break
             self.n_running += 1
             self.counts.n_admitted += 1
-            turns.append(ticket)
-        return turns
+            admitted.append(ticket)
+        return admitted
 
     def expire(self, ticket: Ticket[T]) -> Refusal:
-        """Refuse a request whose deadline came first; it is out of the queue."""
+        """Remove and refuse a request whose deadline passed in the queue."""
         self.queue.remove(ticket)
         self.counts.n_expired += 1
-        return _unreachable(0.0, self.wait_s(ticket.service_class))
+        return _refuse_unreachable(0.0, self.wait_s(ticket.service_class))
 
     def leave(self, ticket: Ticket[T]) -> None:
-        """Take out a request whose caller hung up."""
+        """Remove a request whose caller disconnected."""
         self.queue.remove(ticket)
         self.counts.n_left += 1
 
     def release(self, held_s: float | None) -> None:
-        """Give a place back and learn how long it was held; None if never used."""
+        """Return a slot and record how long it was held; None if it was not used."""
         self.n_running -= 1
         if held_s is not None:
             self.hold_s += HOLD_SMOOTHING * (held_s - self.hold_s)
 
-    def _drain_s(self, n_turns: int) -> float:
-        """Return the time in which so many places come free."""
-        return n_turns * self.hold_s / max(1, self.capacity)
+    def _drain_s(self, n_freed: int) -> float:
+        """Return the expected time until ``n_freed`` slots have been freed."""
+        return n_freed * self.hold_s / max(1, self.capacity)
 
 
-def _unreachable(late_s: float, wait_s: float) -> Refusal:
-    """Refuse; by Retry-After the queue should be short enough for the deadline."""
+def _refuse_unreachable(late_s: float, wait_s: float) -> Refusal:
+    """Return a refusal after whose Retry-After the deadline should be reachable."""
     return Refusal(
         ResultCode.DEADLINE_UNREACHABLE,
-        f"the answer would come {late_s:.1f} s too late; "
-        "come back after Retry-After, or allow more time",
-        max(MIN_RETRY_S, late_s, wait_s),
+        f"the response would miss its deadline by {late_s:.1f} s; "
+        "retry after the time in Retry-After, or allow more time",
+        max(MIN_RETRY_AFTER_S, late_s, wait_s),
     )
--- a/packages/corianderlb-core/src/corianderlb_core/fair_queue.py
+++ b/packages/corianderlb-core/src/corianderlb_core/fair_queue.py
@@ -1,12 +1,12 @@
-"""Queue requests by urgency and, inside a class, by weighted fair shares.
+"""Priority queue of service classes with weighted fair queueing within each class.
 
-Inside a class each client account gets a share of the turns in proportion to its
-weight, however many requests it queues (start-time fair queueing; Goyal, Vin and
-Cheng, 1996). More urgent classes go first, but a class whose oldest request has waited
-too long gets every ``overdue_every``-th turn until it has caught up.
+Within a class each client account is served in proportion to its weight, however many
+requests it queues (start-time fair queueing; Goyal, Vin and Cheng, 1996). More urgent
+classes go first, but a class whose oldest request is overdue gets every
+``overdue_every``-th turn until it has caught up.
 
-So a request with ``n`` others of its class in front waits at most ``max_wait_s`` plus
-``overdue_every * n_overdue_classes * (n + 1)`` turns, whatever else arrives.
+A request with ``n`` others of its class ahead of it therefore waits at most
+``max_wait_s`` plus ``overdue_every * n_overdue_classes * (n + 1)`` turns.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 T = TypeVar("T")
 
 CLASSES: Final = (ServiceClass.URGENT, ServiceClass.STANDARD, ServiceClass.DEFERRABLE)
-"""The classes, most urgent first."""
+"""Service classes, most urgent first."""
 
 
 @dataclass(eq=False)
 class Ticket(Generic[T]):
-    """Hold one place in the queue."""
+    """A queued item."""
 
     item: T
     account: AccountId
     service_class: ServiceClass
     queued_at: float
     start: float = 0.0
-    """Virtual time at which its turn begins."""
+    """Virtual start time."""
     in_queue: bool = True
 
 
 @dataclass(eq=False)
 class _ClassQueue(Generic[T]):
-    """Hold the requests of one class."""
+    """Queue of one service class."""
 
     heap: list[tuple[float, int, Ticket[T]]] = field(default_factory=list)
     arrivals: deque[Ticket[T]] = field(default_factory=deque)
     virtual_time: float = 0.0
     finish: dict[AccountId, float] = field(default_factory=dict)
-    """Virtual time at which the last queued request of each account ends."""
+    """Virtual finish time of the last queued request of each account."""
     n_waiting: int = 0
 
     def push(self, ticket: Ticket[T], number: int, cost: float) -> None:
@@ -68,7 +68,7 @@
         ticket.in_queue = False
         self.n_waiting -= 1
         if self.n_waiting == 0:
-            # Nothing is owed to anyone, and the tables start small again.
+            # An empty queue needs no history; resetting it frees the memory.
             self.heap.clear()
             self.arrivals.clear()
             self.finish.clear()
@@ -81,7 +81,7 @@
 
 
 class FairQueue(Generic[T]):
-    """Give turns by urgency and fair share, with bounded waiting for all classes.
+    """Queue ordered by service class and fair share, with bounded waits for all.
 
     For example, after ``queue.push("a", AccountId("shop"), ServiceClass.URGENT, 0.0)``
     the next ``queue.pop(0.0)`` returns the ticket of ``"a"``.
@@ -97,7 +97,7 @@
         }
         self._n_pushed = 0
         self._n_since_overdue = 0
-        self._rotation = list(CLASSES[1:])
+        self._overdue_rotation = list(CLASSES[1:])
 
     def __len__(self) -> int:
         return sum(queue.n_waiting for queue in self._queues.values())
@@ -110,53 +110,55 @@
         now: float,
         weight: float = 1.0,
     ) -> Ticket[T]:
-        """Queue an item; an account of weight 2 gets twice the turns of weight 1."""
+        """Queue an item; an account is served in proportion to its weight."""
         ticket = Ticket(item, account, service_class, now)
         self._n_pushed += 1
         self._queues[service_class].push(ticket, self._n_pushed, 1.0 / weight)
         return ticket
 
     def pop(self, now: float) -> Ticket[T] | None:
-        """Take the ticket whose turn it is out of the queue."""
+        """Remove and return the next ticket, or None if the queue is empty."""
         waiting = [cls for cls in CLASSES if self._queues[cls].n_waiting]
         if not waiting:
             return None
-        return self._queues[self._choose(waiting, now)].pop()
+        return self._queues[self._select_class(waiting, now)].pop()
 
     def remove(self, ticket: Ticket[T]) -> None:
-        """Take a ticket out whose request was given up on; twice does nothing."""
+        """Remove a ticket whose request was cancelled; a second call does nothing."""
         if ticket.in_queue:
             self._queues[ticket.service_class].remove(ticket)
 
     def n_ahead(self, service_class: ServiceClass) -> int:
-        """Return how many would have their turn before a new request of a class.
+        """Return how many requests would be served before a new one of this class.
 
-        Overdue requests of less urgent classes take some turns in between.
+        This includes turns given to overdue requests of less urgent classes.
         """
         position = CLASSES.index(service_class)
         ahead = sum(self._queues[cls].n_waiting for cls in CLASSES[: position + 1])
-        behind = sum(self._queues[cls].n_waiting for cls in CLASSES[position + 1 :])
-        return ahead + min(behind, ahead // (self._overdue_every - 1))
+        less_urgent = sum(
+            self._queues[cls].n_waiting for cls in CLASSES[position + 1 :]
+        )
+        return ahead + min(less_urgent, ahead // (self._overdue_every - 1))
 
     def n_waiting(self, account: AccountId) -> int:
-        """Return how many requests of an account wait, for status."""
+        """Return the number of queued requests of an account, for status."""
         return sum(
             ticket.in_queue and ticket.account == account
             for queue in self._queues.values()
             for ticket in queue.arrivals
         )
 
-    def _choose(self, waiting: list[ServiceClass], now: float) -> ServiceClass:
+    def _select_class(self, waiting: list[ServiceClass], now: float) -> ServiceClass:
         overdue = [cls for cls in waiting[1:] if self._is_overdue(cls, now)]
         self._n_since_overdue += 1
         if overdue and self._n_since_overdue >= self._overdue_every:
             self._n_since_overdue = 0
-            # In rotation. By the longest wait, a middle class that is overloaded
-            # itself would take all of these turns from the last.
-            self._rotation.sort(key=lambda cls: cls not in overdue)
-            chosen = self._rotation.pop(0)
-            self._rotation.append(chosen)
-            return chosen
+            # Overdue classes take turns. Ordered by the longest wait, an overloaded
+            # middle class would starve the last one.
+            self._overdue_rotation.sort(key=lambda cls: cls not in overdue)
+            selected = self._overdue_rotation.pop(0)
+            self._overdue_rotation.append(selected)
+            return selected
         return waiting[0]
 
     def _is_overdue(self, service_class: ServiceClass, now: float) -> bool:
--- a/packages/corianderlb-core/src/corianderlb_core/retry.py
+++ b/packages/corianderlb-core/src/corianderlb_core/retry.py
@@ -1,8 +1,8 @@
-"""Decide whether and when a failed attempt is followed by another.
+"""Decide whether and when to retry a failed attempt.
 
-Each kind of call has one policy class. Two bounds hold for all of them: budgets for
-each upstream and each client account, which keep retries a small part of the traffic
-when everything fails at once, and the caller's deadline, which no retry outlives.
+Each kind of call has a policy class. Two limits apply to all of them: retry budgets
+for each upstream and client account, which keep retries a small fraction of the
+traffic during an outage, and the caller's deadline.
 """
 
 from __future__ import annotations
@@ -16,73 +16,73 @@
 from .result import ResultCode
 
 BASE_DELAY_S: Final = 0.05
-"""Longest wait before the first retry; it doubles with each further one."""
+"""Maximum backoff before the first retry; doubles with each further retry."""
 
 MAX_DELAY_S: Final = 2.0
-"""Longest wait before any retry, unless the upstream asked for a longer one."""
+"""Maximum backoff before any retry, unless the upstream requests a longer one."""
 
 RETRY_AFTER_S: Final = 1.0
-"""What a caller is told when the upstreams gave no time of their own."""
+"""Retry-After for the caller when the upstream sent none."""
 
 
 class FailureKind(Enum):
-    """Tell how an attempt failed, as far as repeating it depends on it."""
+    """Kind of failure of an attempt, as the retry policies distinguish it."""
 
     NOT_SENT = "not sent"
-    """No byte of the attempt can have reached an upstream."""
+    """No byte of the request can have reached an upstream."""
     REFUSED = "refused"
-    """The upstream declined before running."""
+    """The upstream refused the request before running it."""
     BROKEN = "broken"
-    """The connection ended before the answer was whole."""
+    """The connection closed before the response was complete."""
     CRASHED = "crashed"
-    """The upstream instance died while the request ran on it."""
+    """The upstream instance crashed while the request ran on it."""
     SILENT = "silent"
-    """The connection made no progress for the time allowed."""
+    """The connection made no progress within the stall timeout."""
     WRONG = "wrong"
-    """The answer belongs to another attempt, to other weights, or makes no sense."""
+    """The response is malformed or belongs to another attempt or weights version."""
     FAILED = "failed"
-    """The upstream answered with an error of its own."""
+    """The upstream responded with an error."""
 
 
 @dataclass(frozen=True)
 class AttemptFailure:
-    """Hold how one attempt failed."""
+    """Failure of one attempt."""
 
     kind: FailureKind
     detail: str
     retry_after_s: float = 0.0
-    """What the upstream asked for; 0 when it named nothing."""
+    """Retry-After of the upstream; 0 if it sent none."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an upstream can have started the request."""
+        """Whether an upstream may have started the request."""
         return self.kind not in (FailureKind.NOT_SENT, FailureKind.REFUSED)
 
 
 @dataclass(frozen=True)
 class Retry:
-    """Try again after a wait."""
+    """Decision to retry after a delay."""
 
     delay_s: float
 
 
 @dataclass(frozen=True)
 class GiveUp:
-    """End the request with a result that is true about whether it ran."""
+    """Decision to end the request, with a code that states whether it may have run."""
 
     code: ResultCode
     retry_after_s: float
 
 
 class RetryPolicy(ABC):
-    """Say what one kind of call allows; override ``allows``."""
+    """Retry rules for one kind of call; override ``allows``."""
 
     max_attempts: ClassVar[int] = 4
-    """Attempts of one request, the first included."""
+    """Attempts of one request, including the first."""
 
     @abstractmethod
     def allows(self, failure: AttemptFailure) -> bool:
-        """Return whether a further attempt after this failure is safe."""
+        """Return whether a retry after this failure is safe."""
 
     def given_up(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
         """Return the code for the caller after the last failure."""
@@ -94,7 +94,7 @@
 
 
 class CompletionRetry(RetryPolicy):
-    """Allow every retry: output is a function of the prompt and can be continued."""
+    """Allow every retry: output depends only on the prompt and can be resumed."""
 
     def allows(self, failure: AttemptFailure) -> bool:
         """Return True."""
@@ -107,21 +107,21 @@
     max_attempts = 3
 
     def allows(self, failure: AttemptFailure) -> bool:
-        """Return whether trying again can help: an error of the service stays one."""
+        """Return whether a retry can help, which it cannot after a service error."""
         return failure.kind is not FailureKind.FAILED
 
 
 class NonRepeatableCallRetry(RetryPolicy):
-    """Allow another attempt only while no upstream can have started the call.
+    """Allow a retry only while no upstream can have started the call.
 
-    A sign-off that is sent twice bills a buyer twice, so after the first byte the
-    outcome is what the upstream says, or unknown.
+    A call that runs twice may bill a buyer twice. After the first byte is sent, the
+    outcome is the upstream's response, or unknown.
     """
 
     max_attempts = 3
 
     def allows(self, failure: AttemptFailure) -> bool:
-        """Return whether the failure proves that nothing ran."""
+        """Return whether the failure proves that the call did not run."""
         return not failure.may_have_run
 
     def given_up(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
@@ -132,27 +132,27 @@
 
 
 class RetryBudget:
-    """Let retries be a share of first attempts, and a few more when there are none.
+    """Limit retries to a fraction of first attempts, plus a small reserve.
 
-    Without it a fleet of routers answers an overloaded upstream with a multiple of
-    the load that overloaded it, and the upstream cannot recover.
+    Without it, retries multiply the load on an overloaded upstream and keep it from
+    recovering.
     """
 
     RATIO: ClassVar[float] = 0.2
-    """Retries earned by a first attempt."""
+    """Retries added for each first attempt."""
 
     RESERVE: ClassVar[float] = 10.0
-    """Retries that are there from the start, and the most that is saved up."""
+    """Initial and maximum number of retries in the budget."""
 
     REFILL_PER_S: ClassVar[float] = 0.5
-    """Retries earned by time, so that a quiet upstream is not stuck at none."""
+    """Retries added per second, so that the budget of an idle upstream recovers."""
 
     def __init__(self, now: float) -> None:
         self._tokens = self.RESERVE
-        self._at = now
+        self._refilled_at = now
 
     def record_first_attempt(self, now: float) -> None:
-        """Earn part of a retry."""
+        """Add the share of a retry for one first attempt."""
         self._refill(now)
         self._tokens = min(self.RESERVE, self._tokens + self.RATIO)
 
@@ -162,32 +162,32 @@
         return self._tokens >= 1
 
     def refill_until(self, now: float) -> None:
-        """Earn what the time since the last call is worth."""
+        """Add the retries for the time since the last refill."""
         self._refill(now)
 
     def take(self) -> None:
-        """Pay for one retry."""
+        """Take one retry from the budget."""
         self._tokens -= 1
 
     def _refill(self, now: float) -> None:
-        earned = (now - self._at) * self.REFILL_PER_S
+        earned = (now - self._refilled_at) * self.REFILL_PER_S
         self._tokens = min(self.RESERVE, self._tokens + max(0.0, earned))
-        self._at = max(self._at, now)
+        self._refilled_at = max(self._refilled_at, now)
 
 
 class RetryBudgets:
-    """Hold the budgets of all upstreams and accounts of one router."""
+    """Retry budgets of the upstreams and client accounts of one router."""
 
     def __init__(self) -> None:
         self._budgets: dict[str, RetryBudget] = {}
 
     def record_first_attempt(self, names: tuple[str, ...], now: float) -> None:
-        """Earn part of a retry in each named budget."""
+        """Record a first attempt in each named budget."""
         for name in names:
             self._budget(name, now).record_first_attempt(now)
 
     def take(self, names: tuple[str, ...], now: float) -> bool:
-        """Pay for a retry from all named budgets, or from none of them."""
+        """Take a retry from all named budgets, or from none if one is exhausted."""
         budgets = [self._budget(name, now) for name in names]
         for budget in budgets:
             budget.refill_until(now)
@@ -204,10 +204,10 @@
 
 
 class RetryRun:
-    """Follow one request over its attempts.
+    """Retry state of one request.
 
-    ``budget_names`` are the budgets that each retry is paid from. ``after`` is asked
-    once per failed attempt and returns what to do.
+    Each retry is taken from the budgets in ``budget_names``. Call ``after`` once for
+    each failed attempt.
     """
 
     def __init__(
@@ -220,20 +220,20 @@
     ) -> None:
         self._policy = policy
         self._budgets = budgets
-        self._names = budget_names
+        self._budget_names = budget_names
         self._deadline = deadline
         self._rng = rng
         self._n_failed = 0
         self.may_have_run = False
-        """Whether any attempt so far can have run."""
+        """Whether any attempt so far may have run."""
 
     def after(
         self, failure: AttemptFailure, now: float, made_progress: bool = False
     ) -> Retry | GiveUp:
-        """Return what follows a failed attempt.
+        """Decide whether to retry after a failed attempt.
 
-        An attempt that made progress starts the count of attempts anew: a long stream
-        may outlive several upstreams, as long as each carried it on.
+        An attempt that made progress resets the number of attempts, so a long stream
+        may be resumed on any number of upstreams.
         """
         self.may_have_run = self.may_have_run or failure.may_have_run
         self._n_failed = 1 if made_progress else self._n_failed + 1
@@ -244,18 +244,18 @@
         delay_s = self._delay(failure)
         if now + delay_s >= self._deadline:
             return self._give_up(failure)
-        if not self._budgets.take(self._names, now):
+        if not self._budgets.take(self._budget_names, now):
             return self._budget_spent(failure)
         return Retry(delay_s)
 
     def code_if_given_up(self, failure: AttemptFailure) -> ResultCode:
-        """Return the code for the caller if the request ended here."""
+        """Return the code for the caller if the request ends after this failure."""
         return self._policy.given_up(failure, self.may_have_run)
 
     def _delay(self, failure: AttemptFailure) -> float:
-        """Return a wait with full jitter, and never less than the upstream asked."""
-        longest = min(MAX_DELAY_S, BASE_DELAY_S * 2 ** (self._n_failed - 1))
-        return failure.retry_after_s + self._rng.uniform(0.0, longest)
+        """Return a backoff with full jitter, on top of the upstream's Retry-After."""
+        max_delay_s = min(MAX_DELAY_S, BASE_DELAY_S * 2 ** (self._n_failed - 1))
+        return failure.retry_after_s + self._rng.uniform(0.0, max_delay_s)
 
     def _give_up(self, failure: AttemptFailure) -> GiveUp:
         code = self.code_if_given_up(failure)
--- a/packages/corianderlb-core/tests/test_fair_queue.py
+++ b/packages/corianderlb-core/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Turns go by urgency and fair share, and nobody waits without bound."""
+"""Test the order of the fair queue, its bounded waits, and the gate's refusals."""
 
 from __future__ import annotations
 
@@ -23,11 +23,8 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    def test_small_account_beside_a_large_one(self) -> None:
-        """A large account queues a thousand requests before a small one sends two.
-
-        Served in the order of arrival, the small account would wait for them all.
-        """
+    def test_large_account_does_not_starve_a_small_one(self) -> None:
+        """Guards against a small account that waits behind another's backlog."""
         queue = a_queue()
         for n in range(1000):
             queue.push(f"large {n}", LARGE, STANDARD, 0.0)
@@ -51,12 +48,8 @@
         order = [queue.pop(1.0).item for _ in range(3)]
         self.assertEqual(order, ["urgent", "standard", "deferrable"])
 
-    def test_reviews_are_not_starved(self) -> None:
-        """Urgent checks come in faster than they can be served, for minutes.
-
-        A weekly review would wait for ever behind them; it has to be served within
-        the bound that the queue states.
-        """
+    def test_deferrable_requests_are_not_starved(self) -> None:
+        """Guards against unbounded waits while more urgent classes are overloaded."""
         queue = a_queue()
         waits = []
         for turn in range(2000):
@@ -69,10 +62,10 @@
             if ticket.item == "review":
                 waits.append(now - ticket.queued_at)
         self.assertGreater(len(waits), 15)
-        # Two classes may be overdue, and none of its class is in front.
+        # Two classes may be overdue, and no request of its class is ahead.
         self.assertLessEqual(max(waits), 10.0 + 4 * 2 * 0.1)
 
-    def test_removed_ticket_has_no_turn(self) -> None:
+    def test_removed_ticket_is_not_served(self) -> None:
         rng = random.Random(3)
         queue = a_queue()
         tickets = [queue.push(str(n), LARGE, STANDARD, 0.0) for n in range(50)]
@@ -100,14 +93,11 @@
         assert isinstance(refusal, Refusal)
         self.assertEqual(refusal.code, ResultCode.DEADLINE_UNREACHABLE)
         self.assertEqual(len(gate.queue), 4)
-        # Five turns of two places a second make 2.5 s, and it needs 0.5 s itself.
+        # Five turns at two slots a second take 2.5 s, and the request itself 0.5 s.
         self.assertAlmostEqual(refusal.retry_after_s, 2.5)
 
-    def test_retry_after_is_true(self) -> None:
-        """A caller that is refused comes back exactly when it was told to.
-
-        If it were refused again with the same deadline, Retry-After would be a lie.
-        """
+    def test_request_is_accepted_after_retry_after(self) -> None:
+        """Guards against a second refusal of a caller that respects Retry-After."""
         gate = self.a_full_gate(n_waiting=8)
         refusal = gate.offer("x", some_facts(deadline=2.0), 1.0, 0.5, 0.0)
         assert isinstance(refusal, Refusal)
@@ -118,14 +108,14 @@
         again = some_facts(deadline=back + 2.0)
         self.assertNotIsInstance(gate.offer("x", again, 1.0, 0.5, back), Refusal)
 
-    def test_number_waiting_is_bounded(self) -> None:
+    def test_queue_length_is_bounded(self) -> None:
         gate = self.a_full_gate(n_waiting=10)
         refusal = gate.offer("x", some_facts(), 1.0, 0.0, 0.0)
         assert isinstance(refusal, Refusal)
         self.assertEqual(refusal.code, ResultCode.QUEUE_FULL)
         self.assertEqual(len(gate.queue), 10)
 
-    def test_urgent_request_is_not_refused_for_waiting_reviews(self) -> None:
+    def test_urgent_request_is_not_refused_for_queued_deferrable_ones(self) -> None:
         gate: Gate[str] = Gate(2, GateTerms(max_waiting=100), hold_s=1.0)
         for n in range(42):
             gate.offer(str(n), some_facts(service_class=DEFERRABLE), 1.0, 0.0, 0.0)
--- a/packages/corianderlb-core/tests/test_grant.py
+++ b/packages/corianderlb-core/tests/test_grant.py
@@ -1,4 +1,4 @@
-"""A home never hands the same places out twice, whichever answers get lost."""
+"""Test that the limits hold when grants are lost, delayed or duplicated."""
 
 from __future__ import annotations
 
@@ -22,12 +22,8 @@
 
 
 class HomeLedgerTest(unittest.TestCase):
-    def test_places_taken_away_by_a_lost_answer(self) -> None:
-        """Two routers want more places than there are, so the home takes some back.
-
-        If the answer that takes them is lost, the first router still uses them. Handed
-        to the second at once, the account would run more than its limit.
-        """
+    def test_withdrawn_slots_stay_reserved_when_a_grant_is_lost(self) -> None:
+        """Guards against exceeding the limit with slots that are still in use."""
         ledger = HomeLedger(Limits(concurrent=10), TERMS, 0.0)
         self.assertEqual(
             ledger.grant(a_request("r1", concurrent=10), 0.0).concurrent, 10
@@ -42,20 +38,20 @@
         second = ledger.grant(a_request("r2", 3, concurrent=10), 3.1)
         self.assertEqual(second.concurrent, 5)
 
-    def test_places_given_back_are_free_at_once(self) -> None:
+    def test_returned_slots_are_free_immediately(self) -> None:
         ledger = HomeLedger(Limits(concurrent=10), TERMS, 0.0)
         ledger.grant(a_request("r1", concurrent=10), 0.0)
         ledger.grant(a_request("r1", 2, concurrent=1, used_concurrent=1), 0.5)
         second = ledger.grant(a_request("r2", concurrent=9), 0.6)
         self.assertEqual(second.concurrent, 9)
 
-    def test_running_requests_count_after_their_lease(self) -> None:
+    def test_running_requests_count_whatever_the_lease(self) -> None:
         ledger = HomeLedger(Limits(concurrent=10), TERMS, 0.0)
         ledger.grant(a_request("r1", concurrent=10, used_concurrent=8), 0.0)
         second = ledger.grant(a_request("r2", concurrent=10), 1.0)
         self.assertLessEqual(second.concurrent, 2)
 
-    def test_first_to_ask_does_not_take_all(self) -> None:
+    def test_first_requester_does_not_starve_the_others(self) -> None:
         ledger = HomeLedger(Limits(requests_per_s=100.0), TERMS, 0.0)
         ledger.grant(a_request("r1", requests=1), 0.0)
         first = ledger.grant(a_request("r2", requests=1000), 0.0)
@@ -70,18 +66,15 @@
         held = Allowance("account/shop", limits, TERMS, InstanceId("r1"))
         return held, HomeLedger(limits, TERMS, 0.0)
 
-    def test_answer_under_way_for_too_long(self) -> None:
-        """An answer from the home arrives after the places it names were given away.
-
-        Taken then, the places would be used by two routers.
-        """
+    def test_expired_grant_is_ignored(self) -> None:
+        """Guards against slots that are used by two routers after a delayed grant."""
         held, ledger = self.an_allowance()
         held.reserve(0, 0.0)
         grant = ledger.grant(held.request(0.0), 0.0)
         held.take_grant(grant, 3.5)
         self.assertIsNotNone(held.reserve(0, 3.5))
 
-    def test_answer_counts_once(self) -> None:
+    def test_duplicate_grant_is_ignored(self) -> None:
         held, ledger = self.an_allowance()
         held.reserve(0, 0.0)
         grant = ledger.grant(held.request(0.0), 0.0)
@@ -90,7 +83,7 @@
         self.assertIsNone(held.reserve(0, 0.1))
         self.assertEqual(held.reserve(0, 0.1), ResultCode.RATE_LIMITED)
 
-    def test_even_shares_sum_up_to_the_limit(self) -> None:
+    def test_even_shares_add_up_to_the_limit(self) -> None:
         routers = [InstanceId(f"r{n}") for n in range(4)]
         n_places = 0
         for router in routers:
--- a/packages/corianderlb-core/tests/test_retry.py
+++ b/packages/corianderlb-core/tests/test_retry.py
@@ -39,9 +39,8 @@
 
 
 class RetryTest(unittest.TestCase):
-    def test_an_outage_does_not_multiply_the_load(self) -> None:
-        """All instances of an upstream fail at once. If each request were tried four
-        times, the upstream would come back under four times the load that felled it."""
+    def test_outage_does_not_multiply_the_load(self) -> None:
+        """Guards against retries that multiply the load during an outage."""
         budgets = RetryBudgets()
         n_retries = 0
         for _ in range(1000):
@@ -52,16 +51,15 @@
                 n_retries += 1
         self.assertLessEqual(n_retries, 1000 * RetryBudget.RATIO + RetryBudget.RESERVE)
 
-    def test_a_spent_budget_of_one_account_leaves_the_others_theirs(self) -> None:
+    def test_exhausted_account_budget_does_not_affect_other_accounts(self) -> None:
         budgets = RetryBudgets()
         while budgets.take(("account/a",), 0.0):
             pass
         self.assertFalse(budgets.take(("upstream/u", "account/a"), 0.0))
         self.assertTrue(budgets.take(("upstream/u", "account/b"), 0.0))
 
-    def test_waits_have_full_jitter_and_honour_what_the_upstream_asked(self) -> None:
-        """Thousands of requests fail in the same instant. Were they all tried again
-        after the same wait, the upstream would get them as one blow."""
+    def test_delays_have_full_jitter_and_respect_retry_after(self) -> None:
+        """Guards against a thundering herd after many requests fail at once."""
         waits = set()
         for seed in range(50):
             run = RetryRun(
@@ -73,12 +71,12 @@
             waits.add(round(action.delay_s, 4))
         self.assertGreater(len(waits), 40)
 
-    def test_no_retry_outlives_the_deadline(self) -> None:
+    def test_no_retry_after_the_deadline(self) -> None:
         run = a_run(deadline=10.0)
         action = run.after(a_failure(retry_after_s=6.0), 5.0)
         self.assertIsInstance(action, GiveUp)
 
-    def test_a_call_that_may_not_repeat_stops_once_it_may_have_run(self) -> None:
+    def test_non_repeatable_call_is_not_retried_once_it_may_have_run(self) -> None:
         for kind in FailureKind:
             failure = a_failure(kind)
             action = a_run(NonRepeatableCallRetry()).after(failure, 0.0)
@@ -86,17 +84,17 @@
             if isinstance(action, GiveUp):
                 self.assertIs(action.code, ResultCode.OUTCOME_UNKNOWN)
 
-    def test_not_run_is_said_only_when_it_is_true(self) -> None:
+    def test_not_run_is_reported_only_when_it_is_certain(self) -> None:
         for policy in (CompletionRetry, RepeatableCallRetry, NonRepeatableCallRetry):
             for kind in FailureKind:
                 run = a_run(policy())
                 action = run.after(a_failure(kind), 0.0)
                 while isinstance(action, Retry):
                     action = run.after(a_failure(FailureKind.REFUSED), 0.0)
-                said_not_run = RESULT_INFO[action.code].ran is Ran.NO
-                self.assertEqual(said_not_run, not a_failure(kind).may_have_run)
+                reports_not_run = RESULT_INFO[action.code].ran is Ran.NO
+                self.assertEqual(reports_not_run, not a_failure(kind).may_have_run)
 
-    def test_a_stream_that_gets_on_is_not_given_up_by_count(self) -> None:
+    def test_stream_that_makes_progress_has_no_attempt_limit(self) -> None:
         run = a_run()
         for _ in range(8):
             self.assertIsInstance(run.after(a_failure(), 0.0, True), Retry)
