--- a/packages/corianderlb-router/tests/data_path_fakes.py
+++ b/packages/corianderlb-router/tests/data_path_fakes.py
@@ -1,7 +1,7 @@
-"""A data path whose upstreams, caller, peers and journal live in the test's process.
+"""Fake upstreams, callers, peers and journal for tests of the data path.
 
-The upstream instances speak HTTP over memory streams, so that the paused clock of the
-tests holds for them too. ``Fault`` says how an instance misbehaves.
+The upstream instances serve HTTP over in-memory streams, so that they follow the test's
+autojump clock. ``Fault`` describes a failure of an instance.
 """
 
 from __future__ import annotations
@@ -68,32 +68,32 @@
 from corianderlb_standins.open_admission import OpenAdmission
 
 N_EVENTS = 6
-"""Events of a fake answer before the terminal one."""
+"""Number of events of a fake answer before the terminal event."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """Say how one request goes wrong; the default is that it does not."""
+    """How one request fails; by default it succeeds."""
 
     after: int = N_EVENTS + 1
-    """Events that are sent before it happens, the terminal one included."""
+    """Number of events sent before the failure, including the terminal event."""
     how: str = ""
-    """``close``, ``end`` (clean), ``hang``, ``crash`` or ``unsized`` (a clean close
-    after an answer that names no length)."""
+    """``close``, ``end`` (clean close), ``hang``, ``crash`` or ``unsized`` (clean close
+    of an answer without a length)."""
     answer_id: str = ""
-    """Echoed in place of the attempt's id."""
+    """Echoed instead of the attempt id."""
     event_id: str = ""
     weights: str = "w1"
     adapter: str = ""
     not_run: bool = False
     status: int = 200
-    swap: int = -1
-    """Index of an event whose number is wrong."""
+    wrong_id_index: int = -1
+    """Index of an event with a wrong id; -1 for none."""
 
 
 @dataclass
 class Received:
-    """Hold one request as an instance got it."""
+    """One request as received by an instance."""
 
     method: str
     path: str
@@ -107,23 +107,23 @@
 
 @dataclass
 class FakeInstance:
-    """Serve as one upstream instance; ``faults`` are used up one a request."""
+    """Fake upstream instance; each request consumes one of the ``faults``."""
 
     name: str
     epoch: int = 1
     alive: bool = True
     frozen: bool = False
     poison: bytes = b"\0"
-    """A body that holds it crashes the instance."""
+    """A request body that contains it crashes the instance."""
     faults: list[Fault] = field(default_factory=list)
     received: list[Received] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
     n_connections: int = 0
     n_crashes: int = 0
     pause_s: float = 0.0
-    """Between two events, and before a whole answer."""
+    """Delay between events, and before a complete answer."""
     ready_at: float = 0.0
-    """When its queue lets the first event out."""
+    """Earliest time of the first event of an answer."""
     streams: set[trio.abc.Stream] = field(default_factory=set)
 
     async def crash(self) -> None:
@@ -217,7 +217,7 @@
                 await self._break(fault, stream, conn)
                 return
             event = events_of(attempt_id)[index]
-            if index == fault.swap:
+            if index == fault.wrong_id_index:
                 event = events_of(attempt_id)[index + 1]
             await stream.send_all(conn.send(h11.Data(data=event)))
             await trio.sleep(self.pause_s)
@@ -245,7 +245,7 @@
 
 
 def events_of(attempt_id: str) -> list[bytes]:
-    """Return the events of the one answer that all fake engines give."""
+    """Return the events of the answer that all fake engines send."""
     events = [
         f'id: {n}\ndata: {{"id":"{attempt_id}","choices":[{{"index":0,'
         f'"delta":{{"content":"w{n} "}}}}]}}\n\n'
@@ -266,15 +266,15 @@
         await trio.lowlevel.checkpoint()
         found = self.instances[address.partition(":")[0]]
         if not found.alive:
-            raise ConnectionRefusedError("nobody listens")
+            raise ConnectionRefusedError("connection refused")
         found.n_connections += 1
-        ours, theirs = trio.testing.memory_stream_pair()
-        self._nursery.start_soon(found.serve, theirs)
-        return ours
+        client_stream, server_stream = trio.testing.memory_stream_pair()
+        self._nursery.start_soon(found.serve, server_stream)
+        return client_stream
 
 
 class FakePeers(PeerNetwork):
-    """Pass messages between the routers of a test at once."""
+    """Deliver messages between the routers of a test without delay."""
 
     def __init__(self, name: str, others: list[FakePeers]) -> None:
         self._name = InstanceId(name)
@@ -301,7 +301,7 @@
 
 
 class FakeJournal(CallJournal):
-    """Keep calls in memory, shared by the routers of a test."""
+    """In-memory call journal, shared by the routers of a test."""
 
     def __init__(self) -> None:
         self.answers: dict[str, CallAnswer | None] = {}
@@ -325,7 +325,7 @@
 
 
 class FixedCatalogue(CatalogueSource):
-    """Hold one catalogue in force."""
+    """Catalogue source with a constant catalogue."""
 
     def __init__(self, catalogue: Catalogue) -> None:
         self._in_force = InForce(catalogue, "now", 0.0)
@@ -335,7 +335,7 @@
 
 
 class FakeCaller:
-    """Send one request and keep the answer; it can stall or hang up."""
+    """Caller that sends one request and records the answer; can stall or disconnect."""
 
     def __init__(
         self, path: str = "/v1/completions", body: bytes = b"", **headers: str
@@ -386,13 +386,13 @@
 
     @property
     def whole(self) -> bytes:
-        """The stream that a caller must get."""
+        """The complete stream that the caller should receive."""
         request_id = self.answer_headers[header.REQUEST_ID]
         return b"".join(events_of(request_id))
 
 
 class FirstByName(PolicyPlacer):
-    """Send everything to the same instance while it is usable."""
+    """Prefer the usable instance whose name sorts first."""
 
     def place(
         self,
@@ -408,7 +408,7 @@
 
 
 class FakeRouter:
-    """Hold the data path of one router over fake instances."""
+    """Data path of one router over fake instances."""
 
     def __init__(
         self,
@@ -421,9 +421,9 @@
         heard: bool = True,
     ) -> None:
         self.directory = PlatformDirectory()
-        self._list(network)
+        self._apply_instance_list(network)
         if heard:
-            self._hear(network)
+            self._report_loads(network)
         rng = random.Random(7)
         self.client = UpstreamClient(network)
         self.health = HealthTracker(self.directory, self.client, rng)
@@ -462,7 +462,7 @@
         nursery.start_soon(self.health.run)
         nursery.start_soon(self.parts.stalls.run)
 
-    def _list(self, network: FakeNetwork) -> None:
+    def _apply_instance_list(self, network: FakeNetwork) -> None:
         records = tuple(
             InstanceRecord(
                 instance=InstanceId(found.name),
@@ -477,7 +477,7 @@
         )
         self.directory.apply_list(InstanceList(1, records))
 
-    def _hear(self, network: FakeNetwork) -> None:
+    def _report_loads(self, network: FakeNetwork) -> None:
         for found in network.instances.values():
             report = LoadReport(found.epoch)
             self.directory.take_report(
@@ -498,7 +498,7 @@
 
 
 def the_catalogue() -> Catalogue:
-    """Return a catalogue with one model, one account and two routes."""
+    """Return a catalogue with a model, an adapter, an account and two routes."""
     return a_catalogue(
         a_model(),
         an_adapter(),
--- a/packages/corianderlb-router/tests/test_bad_input.py
+++ b/packages/corianderlb-router/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever is wrong with a request gets a number and a sentence, and nothing starts."""
+"""Test that invalid requests get a result code and message and do not run."""
 
 from __future__ import annotations
 
@@ -53,20 +53,20 @@
             await self.refuse_all({ResultCode.INVALID_REQUEST: FakeCaller(path, body)})
 
     async def test_headers(self) -> None:
-        def ask(**headers: str) -> FakeCaller:
+        def a_caller(**headers: str) -> FakeCaller:
             return FakeCaller(TEXT, GOOD, **headers)
 
         await self.refuse_all(
             {
-                ResultCode.BAD_CREDENTIALS: ask(authorization="Bearer wrong"),
-                ResultCode.INVALID_DEADLINE: ask(corianderlb_deadline_ms="soon"),
-                ResultCode.INVALID_REQUEST: ask(corianderlb_class="asap"),
-                ResultCode.HEADERS_TOO_LARGE: ask(x_note="n" * 40_000),
+                ResultCode.BAD_CREDENTIALS: a_caller(authorization="Bearer wrong"),
+                ResultCode.INVALID_DEADLINE: a_caller(corianderlb_deadline_ms="soon"),
+                ResultCode.INVALID_REQUEST: a_caller(corianderlb_class="asap"),
+                ResultCode.HEADERS_TOO_LARGE: a_caller(x_note="n" * 40_000),
             }
         )
-        await self.refuse_all({ResultCode.BAD_CREDENTIALS: ask(authorization="")})
+        await self.refuse_all({ResultCode.BAD_CREDENTIALS: a_caller(authorization="")})
         for text in ("0", "-1", "9" * 30, "1.5", "²"):
-            caller = ask(corianderlb_deadline_ms=text)
+            caller = a_caller(corianderlb_deadline_ms=text)
             await self.refuse_all({ResultCode.INVALID_DEADLINE: caller})
 
     async def test_routes(self) -> None:
@@ -92,7 +92,6 @@
         await with_router(check, FakeInstance("e0"))
 
     async def test_deep_json(self) -> None:
-        """A body of nothing but brackets can make a parser run out of stack, and the
-        router with it."""
+        """Guards against deeply nested JSON exhausting the stack of the parser."""
         deep = b'{"model":' + b"[" * 100_000
         await self.refuse_all({ResultCode.BODY_NOT_JSON: FakeCaller(TEXT, deep)})
--- a/packages/corianderlb-router/tests/test_caller_connection.py
+++ b/packages/corianderlb-router/tests/test_caller_connection.py
@@ -12,11 +12,11 @@
 from data_path_fakes import FakeInstance, FakeNetwork, FakeRouter
 
 BOUND_S = 20.0
-"""After this long a test has failed."""
+"""Timeout of a test."""
 
 
 def a_request(path: str, body: bytes, *headers: str) -> bytes:
-    """Build the bytes of a POST."""
+    """Build the bytes of a POST request."""
     lines = [
         f"POST {path} HTTP/1.1",
         "host: router",
@@ -31,7 +31,7 @@
 
 
 class CallerConnectionTest(RealTimeTestCase):
-    """Check the data path behind the real server, over loopback."""
+    """Test the data path behind the real HTTP server, over loopback."""
 
     async def serve(
         self,
@@ -53,8 +53,8 @@
                 nursery.cancel_scope.cancel()
 
     async def test_a_connection_closes_after_the_answer_when_asked_to(self) -> None:
-        """A client asks for the close and waits for it, as simple ones do. The answer
-        is whole, but the client would hang until its own timeout."""
+        """Guards against a client that requested a close hanging until its timeout
+        after a complete answer."""
 
         async def check(router: FakeRouter, stream: trio.SocketStream) -> None:
             head = "connection: close"
@@ -64,10 +64,9 @@
 
         await self.serve(check, FakeInstance("e0"))
 
-    async def test_a_draining_router_ends_kept_connections(self) -> None:
-        """A client keeps its connection and sends one request after the other. The
-        balancer has no say in that, so the router would never be empty and would
-        have to cut somebody in the end."""
+    async def test_a_draining_router_closes_kept_alive_connections(self) -> None:
+        """Requests on a kept-alive connection bypass the load balancer. Guards against
+        a drain that never completes and has to cancel requests."""
 
         async def check(router: FakeRouter, stream: trio.SocketStream) -> None:
             router.exchanges.closing = True
@@ -77,7 +76,7 @@
 
         await self.serve(check, FakeInstance("e0"))
 
-    async def test_a_caller_that_closes_stops_the_engine(self) -> None:
+    async def test_a_disconnected_caller_cancels_the_engines_work(self) -> None:
         engine = FakeInstance("e0", pause_s=0.2)
 
         async def check(router: FakeRouter, stream: trio.SocketStream) -> None:
@@ -89,9 +88,8 @@
 
         await self.serve(check, engine)
 
-    async def test_a_sign_off_runs_to_its_end_without_its_caller(self) -> None:
-        """The tablet loses its connection while the service books. A call cut half
-        way would leave the booking's outcome open for ever."""
+    async def test_a_sign_off_completes_after_its_caller_disconnects(self) -> None:
+        """Guards against cancelling a call, which leaves its outcome unknown."""
         service = FakeInstance("s0", pause_s=0.3)
 
         async def check(router: FakeRouter, stream: trio.SocketStream) -> None:
--- a/packages/corianderlb-router/tests/test_completion_run.py
+++ b/packages/corianderlb-router/tests/test_completion_run.py
@@ -19,7 +19,7 @@
 
 
 class CompletionRunTest(TrioTestCase):
-    async def test_a_stream_arrives_whole(self) -> None:
+    async def test_a_stream_arrives_complete(self) -> None:
         async def check(router: FakeRouter) -> None:
             caller = await router.ask()
             self.assertEqual(caller.answer, caller.whole)
@@ -27,7 +27,7 @@
 
         await with_router(check, FakeInstance("e0"))
 
-    async def test_a_whole_answer_is_put_together(self) -> None:
+    async def test_a_complete_answer_is_assembled(self) -> None:
         async def check(router: FakeRouter) -> None:
             body = b'{"model":"ember-llm","prompt":"hi"}'
             caller = await router.ask(FakeCaller(body=body))
@@ -36,10 +36,9 @@
 
         await with_router(check, FakeInstance("e0"))
 
-    async def test_a_cut_stream_is_resumed_on_the_same_life(self) -> None:
-        """A box on the way drops the connection in mid-stream while the engine goes
-        on. Without a resume the caller's sentence would stop there, or the whole
-        prompt would be computed again."""
+    async def test_a_broken_stream_is_resumed_on_the_same_incarnation(self) -> None:
+        """The network drops a connection while the engine keeps generating. Guards
+        against a truncated answer and a second prefill of the prompt."""
         for how in ("close", "end"):
             engine = FakeInstance("e0", faults=[Fault(after=3, how=how)])
 
@@ -54,9 +53,9 @@
 
             await with_router(check, engine)
 
-    async def test_a_stream_without_its_terminal_event_is_not_whole(self) -> None:
-        """The engine closes cleanly after the last token, before the terminal event.
-        A caller would take the answer for whole though nobody confirmed it."""
+    async def test_a_stream_without_its_terminal_event_is_incomplete(self) -> None:
+        """The engine closes cleanly before the terminal event. Guards against an
+        unconfirmed answer being taken for complete."""
         fault = Fault(after=N_EVENTS, how="end")
         engine = FakeInstance("e0", faults=[fault])
 
@@ -67,9 +66,9 @@
 
         await with_router(check, engine)
 
-    async def test_a_stream_goes_on_elsewhere_after_a_crash(self) -> None:
-        """The engine's process dies in mid-stream. The caller would see half a
-        sentence; instead another engine repeats it and only the rest is passed on."""
+    async def test_a_stream_continues_on_another_engine_after_a_crash(self) -> None:
+        """An engine crashes during a stream. Another engine repeats the answer and only
+        the missing events are forwarded."""
         first = FakeInstance("e0", faults=[Fault(after=2, how="crash")])
         second = FakeInstance("e1", faults=[Fault(after=2, how="crash")])
         third = FakeInstance("e2")
@@ -82,10 +81,9 @@
 
         await with_router(check, first, second, third)
 
-    async def test_a_crashed_engine_back_under_its_address_is_another(self) -> None:
-        """The engine comes back empty under the same address before the router looks.
-        A resume there would be answered from nothing, or run the prompt again on the
-        engine that it may have killed."""
+    async def test_a_restarted_engine_at_the_same_address_is_not_resumed(self) -> None:
+        """An engine restarts without its state before the router reconnects. Guards
+        against resuming there, or repeating a prompt that may have crashed it."""
         engine = FakeInstance("e0", pause_s=1.0)
         other = FakeInstance("e1")
 
@@ -108,10 +106,9 @@
 
         await with_router(check, engine, other)
 
-    async def test_a_silent_connection_is_given_up_with_its_whole_pool(self) -> None:
-        """A box on the way has lost track of the connections to an engine: they stay
-        open and nothing comes through. Each caller would wait for its own timeout, one
-        after the other, on connections that are all dead."""
+    async def test_an_unresponsive_connection_retires_its_pool(self) -> None:
+        """All pooled connections to an engine stay open but carry no data. Guards
+        against one timeout for each dead connection of the pool."""
         engine = FakeInstance("e0")
 
         async def check(router: FakeRouter) -> None:
@@ -129,7 +126,7 @@
 
         await with_router(check, engine)
 
-    async def test_a_long_stream_outlives_any_total_time(self) -> None:
+    async def test_a_long_stream_has_no_total_timeout(self) -> None:
         engine = FakeInstance("e0", pause_s=4.0)
 
         async def check(router: FakeRouter) -> None:
@@ -139,10 +136,9 @@
 
         await with_router(check, engine)
 
-    async def test_a_long_queue_is_not_taken_for_silence(self) -> None:
-        """A weekly review waits in a busy engine for a minute. Taken for a dead
-        connection, it would be sent on from engine to engine, and each of them
-        retired while it works."""
+    async def test_a_long_queue_does_not_count_as_unresponsive(self) -> None:
+        """A request is queued on a busy engine for a minute. Guards against retries on
+        engine after engine that retire each of them."""
         engines = [FakeInstance(f"e{n}", ready_at=60.0) for n in range(2)]
 
         async def check(router: FakeRouter) -> None:
@@ -157,9 +153,9 @@
 
         await with_router(check, *engines)
 
-    async def test_an_engine_that_answers_but_never_begins_is_left(self) -> None:
-        """An engine's accelerator hangs while its HTTP side goes on answering. Its
-        callers would wait for nothing until their deadlines."""
+    async def test_an_engine_that_never_sends_an_event_is_abandoned(self) -> None:
+        """An engine answers HTTP requests but generates nothing. Guards against callers
+        waiting until their deadlines."""
         engines = [FakeInstance("e0", ready_at=1e6), FakeInstance("e1", ready_at=1e6)]
 
         async def check(router: FakeRouter) -> None:
@@ -175,8 +171,8 @@
         await with_router(check, *engines)
 
     async def test_an_answer_to_another_attempt_is_never_relayed(self) -> None:
-        """Two answers cross inside an upstream. One customer would read the answer to
-        the other's prompt."""
+        """An upstream mixes up two answers. Guards against sending a caller the answer
+        to another caller's prompt."""
         for fault in (Fault(answer_id="other"), Fault(event_id="other")):
             engines = [FakeInstance(f"e{n}", faults=[fault]) for n in range(2)]
 
@@ -189,8 +185,10 @@
 
             await with_router(check, *engines)
 
-    async def test_a_skipped_token_is_repaired_elsewhere(self) -> None:
-        engines = [FakeInstance(f"e{n}", faults=[Fault(swap=3)]) for n in range(2)]
+    async def test_a_skipped_event_is_retried_on_another_engine(self) -> None:
+        engines = [
+            FakeInstance(f"e{n}", faults=[Fault(wrong_id_index=3)]) for n in range(2)
+        ]
 
         async def check(router: FakeRouter) -> None:
             caller = await router.ask()
@@ -199,8 +197,8 @@
         await with_router(check, *engines, FakeInstance("e2"))
 
     async def test_an_answer_from_other_weights_is_not_used(self) -> None:
-        """An engine still runs last week's weights and does not refuse. The caller
-        would get an answer that nobody approved for it."""
+        """An engine answers with old weights instead of refusing. Guards against
+        relaying an answer from weights that are not in the catalogue."""
         engines = [FakeInstance(f"e{n}", faults=[Fault(weights="w0")]) for n in "01"]
 
         async def check(router: FakeRouter) -> None:
@@ -211,8 +209,8 @@
         await with_router(check, *engines)
 
     async def test_an_answer_from_an_older_adapter_is_not_used(self) -> None:
-        """An adapter has a new version and one engine still has the old one. Its
-        weights are right, so nothing but the adapter's name shows the old answer."""
+        """One engine still has the old version of an adapter. The weights version is
+        correct, so only the adapter header reveals it."""
         old = FakeInstance("e0", faults=[Fault(adapter="moisture@a1")])
         new = FakeInstance("e1", faults=[Fault(adapter="moisture@a2")] * 2)
 
@@ -227,9 +225,9 @@
 
         await with_router(check, old, new)
 
-    async def test_a_stream_that_cannot_go_on_ends_with_an_error(self) -> None:
-        """Every engine breaks off. A connection that merely closed could be taken for
-        the end of the answer; an explicit event cannot."""
+    async def test_a_stream_that_cannot_continue_ends_with_an_error(self) -> None:
+        """All attempts break. Guards against a closed connection being taken for the
+        end of the answer; the error event is explicit."""
         faults = [Fault(after=2, how="close") for _ in range(40)]
         engine = FakeInstance("e0", faults=faults)
 
@@ -241,7 +239,7 @@
 
         await with_router(check, engine)
 
-    async def test_a_refusal_says_truly_that_nothing_ran(self) -> None:
+    async def test_a_refusal_reports_that_nothing_ran(self) -> None:
         engine = FakeInstance("e0", faults=[Fault(not_run=True) for _ in range(9)])
 
         async def check(router: FakeRouter) -> None:
@@ -252,9 +250,9 @@
 
         await with_router(check, engine)
 
-    async def test_a_break_before_the_answer_is_not_called_not_run(self) -> None:
-        """An engine takes the request and dies before its first byte. Telling the
-        caller that it did not run would be a guess."""
+    async def test_a_break_before_the_answer_is_reported_as_unknown(self) -> None:
+        """The connection breaks before the first event. Guards against reporting that
+        the request did not run, which is unknown."""
         faults = [Fault(after=0, how="close") for _ in range(40)]
 
         async def check(router: FakeRouter) -> None:
@@ -263,9 +261,8 @@
 
         await with_router(check, FakeInstance("e0", faults=faults))
 
-    async def test_a_caller_that_leaves_stops_the_upstream_work(self) -> None:
-        """A foreman closes the tablet in mid-answer. The engine would go on computing
-        tokens that nobody reads."""
+    async def test_a_disconnected_caller_cancels_the_upstream_work(self) -> None:
+        """Guards against an engine generating tokens after its caller disconnected."""
         engine = FakeInstance("e0", pause_s=1.0)
 
         async def check(router: FakeRouter) -> None:
@@ -281,9 +278,9 @@
 
         await with_router(check, engine)
 
-    async def test_a_caller_that_does_not_read_holds_bounded_memory(self) -> None:
-        """A caller opens a stream and reads nothing. Were the events taken from the
-        engine all the same, each such caller would fill the router's memory."""
+    async def test_a_caller_that_does_not_read_uses_bounded_memory(self) -> None:
+        """A caller opens a stream and never reads. Guards against buffering the events
+        without a limit."""
         engine = FakeInstance("e0", pause_s=0.1)
 
         async def check(router: FakeRouter) -> None:
@@ -297,7 +294,7 @@
 
         await with_router(check, engine)
 
-    async def test_a_whole_answer_that_is_not_read_is_given_up(self) -> None:
+    async def test_a_complete_answer_that_is_not_read_times_out(self) -> None:
         async def check(router: FakeRouter) -> None:
             caller = FakeCaller(body=b'{"model":"ember-llm","prompt":"hi"}')
             caller.reading = trio.Event()
--- a/packages/corianderlb-router/tests/test_decision_log.py
+++ b/packages/corianderlb-router/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""Every answer can be traced: placements, refusals, replays and callers that left."""
+"""Test that the decision log covers placements, refusals and replays."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def report_of(router: FakeRouter, caller: FakeCaller) -> DecisionReport:
-    """Return the decision that an answer names."""
+    """Return the decision of an answer."""
     decision_id = DecisionId(caller.answer_headers[header.DECISION_ID])
     report = router.parts.decisions.get(decision_id)
-    assert report is not None, "the answer names a decision that is not kept"
+    assert report is not None, "the decision of the answer is not in the log"
     return report
 
 
@@ -33,8 +33,7 @@
         await with_router(check, FakeInstance("e0"))
 
     async def test_a_refusal_is_a_decision_too(self) -> None:
-        """Nothing can answer the request. An auditor who is shown the refusal asks on
-        whose entries it rested, and found no decision before."""
+        """Guards against refusals without a decision, which cannot be audited."""
 
         async def check(router: FakeRouter) -> None:
             caller = await router.ask()
@@ -47,8 +46,8 @@
         await with_router(check)
 
     async def test_a_refusal_before_the_account_is_known(self) -> None:
-        """A caller shows an answer that says its key is wrong. The answer named no
-        decision, so nobody could tell when and where it was given."""
+        """Guards against untraceable refusals of unknown callers, and against these
+        evicting the decisions of client accounts."""
 
         async def check(router: FakeRouter) -> None:
             served = report_of(router, await router.ask())
--- a/packages/corianderlb-router/tests/test_event_splitter.py
+++ b/packages/corianderlb-router/tests/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Events of a stream, however their bytes arrive."""
+"""Test splitting a stream into events."""
 
 from __future__ import annotations
 
--- a/packages/corianderlb-router/tests/test_placer.py
+++ b/packages/corianderlb-router/tests/test_placer.py
@@ -40,10 +40,10 @@
 
 
 class TestPlacer(unittest.TestCase):
-    """Every policy names usable instances only."""
+    """All policies return only usable instances."""
 
     def test_each_policy_ranks_and_avoids(self):
-        """An instance that the request was tried on is not named again."""
+        """An instance to avoid is not among the candidates."""
         for name in POLICIES:
             placer = a_placer(name, "e1", "e2")
             decision = placer.place(FACTS, CATALOGUE, avoid=["e1"])
@@ -52,13 +52,13 @@
             self.assertEqual(found, ["e2"], name)
 
     def test_nothing_usable_is_refused(self):
-        """Without an instance the caller hears so at once, and when to come back."""
+        """Without a usable instance the refusal has a retry-after."""
         refusal = a_placer("default").place(FACTS, CATALOGUE)
         self.assertIs(refusal.code, ResultCode.NO_UPSTREAM)
         self.assertGreater(refusal.retry_after_s, 0)
 
     def test_least_loaded_counts_own_attempts(self):
-        """Between two reports the router still knows what it sent itself."""
+        """The router counts its own attempts between two load reports."""
         placer = a_placer("least_loaded", "e1", "e2")
         first = placer.place(FACTS, CATALOGUE).candidates[0]
         placer.attempt_started(FACTS, first)
@@ -67,6 +67,6 @@
         placer.attempt_ended(FACTS, AttemptOutcome(first.incarnation, ResultCode.OK))
 
     def test_unknown_policy(self):
-        """A typing mistake in the settings names what is allowed."""
+        """The error for an unknown policy lists the allowed policies."""
         with self.assertRaisesRegex(UnknownPolicyError, "least_loaded"):
             make_policy(PlacementSettings(policy="fastest"), random.Random(1))
--- a/packages/corianderlb-router/tests/test_service_run.py
+++ b/packages/corianderlb-router/tests/test_service_run.py
@@ -14,7 +14,7 @@
 
 
 def a_sign_off(key: str = "k1") -> FakeCaller:
-    """Build a call that may not be repeated."""
+    """Build a non-repeatable call."""
     return FakeCaller(SIGN_OFF, b'{"batch":7}', idempotency_key=key)
 
 
@@ -32,8 +32,8 @@
         await with_router(check, service)
 
     async def test_a_sign_off_is_not_sent_again_after_its_first_byte(self) -> None:
-        """The service books the batch and its answer is lost with the connection. A
-        second sending would bill the buyer twice."""
+        """A service runs a call and its answer is lost with the connection. Guards
+        against running the call twice."""
         for how in ("close", "hang", "crash"):
             services = [FakeInstance(f"s{n}", faults=[Fault(how=how)]) for n in "01"]
 
@@ -46,9 +46,9 @@
 
             await with_router(check, *services)
 
-    async def test_a_sign_off_goes_out_on_a_connection_of_its_own(self) -> None:
-        """A connection out of the pool may have been forgotten by a box in between.
-        The booking would vanish in it, and nobody could say whether it ran."""
+    async def test_a_sign_off_uses_a_new_connection(self) -> None:
+        """A pooled connection may be dead without notice. Guards against losing a
+        non-repeatable call on it, with an unknown outcome."""
         service = FakeInstance("s0")
 
         async def check(router: FakeRouter) -> None:
@@ -60,7 +60,7 @@
 
         await with_router(check, service)
 
-    async def test_what_was_never_sent_may_go_elsewhere(self) -> None:
+    async def test_an_unsent_call_is_retried_on_another_instance(self) -> None:
         services = [FakeInstance("s0", alive=False), FakeInstance("s1")]
 
         async def check(router: FakeRouter) -> None:
@@ -71,7 +71,7 @@
 
         await with_router(check, *services)
 
-    async def test_not_run_is_said_when_no_byte_left(self) -> None:
+    async def test_not_run_is_reported_when_no_byte_was_sent(self) -> None:
         async def check(router: FakeRouter) -> None:
             caller = await router.ask(a_sign_off())
             self.assertEqual(caller.error["ran"], "no")
@@ -80,8 +80,8 @@
         await with_router(check, FakeInstance("s0", alive=False))
 
     async def test_a_paused_router_does_not_send_too_late(self) -> None:
-        """The router is frozen between the journal's record and the first byte. By
-        the time it wakes another router may have settled the call."""
+        """The router pauses between the journal record and the first byte. By the time
+        it resumes, another router may have settled the call."""
         service = FakeInstance("s0")
 
         async def check(router: FakeRouter) -> None:
@@ -92,9 +92,8 @@
 
         await with_router(check, service)
 
-    async def test_a_caller_that_hangs_up_changes_nothing(self) -> None:
-        """A tablet loses its signal right after the sign-off. Cancelling the call
-        half way would leave its outcome open for ever."""
+    async def test_a_disconnected_caller_does_not_cancel_a_sign_off(self) -> None:
+        """Guards against cancelling a call, which leaves its outcome unknown."""
         service = FakeInstance("s0")
 
         async def check(router: FakeRouter) -> None:
@@ -105,7 +104,7 @@
 
         await with_router(check, service)
 
-    async def test_a_status_read_is_repeated_elsewhere(self) -> None:
+    async def test_a_status_read_is_retried_on_another_instance(self) -> None:
         services = [FakeInstance(f"s{n}", faults=[Fault(how="close")]) for n in "01"]
 
         async def check(router: FakeRouter) -> None:
@@ -114,9 +113,9 @@
 
         await with_router(check, *services, FakeInstance("s2"))
 
-    async def test_an_answer_that_does_not_show_its_end_is_not_passed_on(self) -> None:
-        """A service sends its answer without a length and closes. A cut on the way
-        would look the same, and half a status page like the whole."""
+    async def test_an_answer_without_a_length_is_not_forwarded(self) -> None:
+        """A service closes the connection after an answer without a length. Guards
+        against forwarding a truncated answer as complete."""
         services = [FakeInstance(f"s{n}", faults=[Fault(how="unsized")]) for n in "01"]
 
         async def check(router: FakeRouter) -> None:
