--- a/packages/corianderlb-core/src/corianderlb_core/message.py
+++ b/packages/corianderlb-core/src/corianderlb_core/message.py
@@ -435,36 +435,37 @@
 )
 
 _TYPES: Final[dict[str, type]] = {
-    cls.__name__: cls
-    for cls in (
-        Challenge,
-        Hello,
-        Welcome,
-        Heartbeat,
-        CatalogueRequest,
-        CatalogueChanges,
-        InstancesRequest,
-        InstancesListed,
-        LoadVector,
-        HotPrefixes,
-        UpstreamLife,
-        UpstreamLeaving,
-        GrantRequest,
-        Grant,
-        CrashReport,
-        SuspectCleared,
-        StateOffer,
-        StateAnswer,
-        StateRequest,
-        StateObjects,
-        EngineNews,
-        WeightsNews,
-        LeaseRenewed,
-        LeaseOffer,
-        LeaseWish,
-        LeaseHandover,
-    )
+    "Challenge": Challenge,
+    "Hello": Hello,
+    "Welcome": Welcome,
+    "Heartbeat": Heartbeat,
+    "CatalogueRequest": CatalogueRequest,
+    "CatalogueChanges": CatalogueChanges,
+    "InstancesRequest": InstancesRequest,
+    "InstancesListed": InstancesListed,
+    "LoadVector": LoadVector,
+    "HotPrefixes": HotPrefixes,
+    "UpstreamLife": UpstreamLife,
+    "UpstreamLeaving": UpstreamLeaving,
+    "GrantRequest": GrantRequest,
+    "Grant": Grant,
+    "CrashReport": CrashReport,
+    "SuspectCleared": SuspectCleared,
+    "StateOffer": StateOffer,
+    "StateAnswer": StateAnswer,
+    "StateRequest": StateRequest,
+    "StateObjects": StateObjects,
+    "EngineNews": EngineNews,
+    "WeightsNews": WeightsNews,
+    "LeaseRenewed": LeaseRenewed,
+    "LeaseOffer": LeaseOffer,
+    "LeaseWish": LeaseWish,
+    "LeaseHandover": LeaseHandover,
 }
+"""The class of each type name in a frame; a class may be renamed, its name here not."""
+
+_NAMES: Final[dict[type, str]] = {cls: name for name, cls in _TYPES.items()}
+"""The type name of each class."""
 
 
 def encode(message: Message) -> bytes:
@@ -477,7 +478,7 @@
         if getattr(message, field.name) == field.default:
             # A decoded message leaves out what was left out of its frame.
             body.pop(field.name, None)
-    return cbor2.dumps([PROTOCOL_VERSION, type(message).__name__, body])
+    return cbor2.dumps([PROTOCOL_VERSION, _NAMES[type(message)], body])
 
 
 def decode(frame: bytes) -> Message:
