--- a/packages/corianderlb-router/tests/test_shown_names.py
+++ b/packages/corianderlb-router/tests/test_shown_names.py
@@ -19,7 +19,7 @@
 from corianderlb_router.catalogue_reader import ReaderCounters
 from corianderlb_router.forward_metric import ForwardMetrics
 from corianderlb_router.forward_node import ForwardNode, ForwardNodeSettings
-from corianderlb_router.forward_run import AttemptNote
+from corianderlb_router.forward_run import AttemptRecord
 from corianderlb_router.metric import Gauge, Metrics, Tally
 from corianderlb_router.node_metric import NodeCounters
 from corianderlb_router.store_caller import StoreCall
@@ -362,7 +362,7 @@
 
     def test_attempts(self) -> None:
         """The attempts in the line of a request keep their fields."""
-        self.assertEqual(field_paths(AttemptNote), lines(ATTEMPT))
+        self.assertEqual(field_paths(AttemptRecord), lines(ATTEMPT))
 
     def test_states(self) -> None:
         """States of the charts, which log lines and the status show, stay."""
--- a/packages/corianderlb-router/tests/test_wire_names.py
+++ b/packages/corianderlb-router/tests/test_wire_names.py
@@ -866,7 +866,7 @@
 
     def test_other_outcomes(self) -> None:
         """The outcomes that are written as they are stay."""
-        found = first_words(ROUTER / "forward_run.py", "_note")
+        found = first_words(ROUTER / "forward_run.py", "_record_attempt")
         self.assertEqual(found, ["abandoned", "ok"])
         text = (ROUTER / "forward_run.py").read_text()
         self.assertIn('"moved" if exc.placement else "restarted"', text)
@@ -911,5 +911,5 @@
     run: Any = mock.MagicMock()
     exc = cls.__new__(cls)
     exc.refused = False  # type: ignore[attr-defined]
-    ForwardRun._judge(run, mock.MagicMock(), exc)
-    return run._note.call_args.args[1]
+    ForwardRun._report_health(run, mock.MagicMock(), exc)
+    return run._record_attempt.call_args.args[1]
