--- a/packages/corianderlb-router/src/corianderlb_router/engine_control.py
+++ b/packages/corianderlb-router/src/corianderlb_router/engine_control.py
@@ -1,4 +1,4 @@
-"""Read an engine's state and give it an order, over HTTP."""
+"""Read the state of engines and send them orders over HTTP."""
 
 from __future__ import annotations
 
@@ -23,44 +23,44 @@
 LOAD_PATH: Final = "/control/load"
 ORDER_PATH: Final = "/control/orders"
 
-READ_PATIENCE: Final = Patience(0.5, 1.0)
-"""For a question about the engine's state."""
+READ_TIMEOUT: Final = Patience(0.5, 1.0)
+"""Timeout for reading an engine's load report."""
 
 CONNECT_S: Final = 1.0
-"""Longest wait for the connection of an order."""
+"""Timeout for connecting to send an order."""
 
 
 class OrderReply(Enum):
-    """Say what became of an order that was to be sent."""
+    """Outcome of sending an order."""
 
     TAKEN = "taken"
     REFUSED = "refused"
-    """The engine has had an order with a newer fencing token."""
+    """The engine has accepted an order with a newer fencing token."""
     NOT_SENT = "not_sent"
-    """No byte of it left, or the engine surely did not take it."""
+    """No byte was sent, or the engine is known not to have accepted it."""
     IN_DOUBT = "in_doubt"
-    """It may have arrived."""
+    """The order may have arrived."""
 
 
 class EngineControl(ABC):
-    """Talk to engines about what they hold."""
+    """Interface for reading engine state and sending orders."""
 
     @abstractmethod
     async def read(self, engine: UpstreamInstance) -> EngineState | None:
-        """Return the engine's own word about itself, or None without an answer."""
+        """Return the state reported by the engine, or None without a response."""
 
     @abstractmethod
-    async def give(
+    async def send_order(
         self, order: Order, address: str, token: int, send_before: float, send_s: float
     ) -> OrderReply:
         """Send an order; no byte of it leaves after ``send_before``."""
 
 
 class HttpEngineControl(EngineControl):
-    """Talk to engines through the router's client for upstreams.
+    """Engine control over the router's HTTP client for upstreams.
 
-    Orders go over connections of their own: one out of the pool may have been dead for
-    long, and its bytes could arrive after the lease has ended.
+    Orders use new connections: a pooled one may be dead, and its bytes could arrive
+    after the lease has ended.
     """
 
     def __init__(self, client: UpstreamClient) -> None:
@@ -69,16 +69,16 @@
     async def read(self, engine: UpstreamInstance) -> EngineState | None:
         """Return the engine's load report."""
         try:
-            response = await self._client.get(engine.address, LOAD_PATH, READ_PATIENCE)
+            response = await self._client.get(engine.address, LOAD_PATH, READ_TIMEOUT)
             report = from_json(LoadReport, response.content)
         except (UpstreamError, httpx.HTTPError, DecodeError):
             return None
         return EngineState(engine.instance, engine.address, report)
 
-    async def give(
+    async def send_order(
         self, order: Order, address: str, token: int, send_before: float, send_s: float
     ) -> OrderReply:
-        """Send an order and read how the engine took it."""
+        """Send an order and return the engine's response to it."""
         body = {
             "order_id": order.order_id,
             "kind": order.kind.value,
--- a/packages/corianderlb-router/src/corianderlb_router/engine_orders.py
+++ b/packages/corianderlb-router/src/corianderlb_router/engine_orders.py
@@ -1,4 +1,4 @@
-"""The seam to engines that report their weights and take orders to load others."""
+"""Interface to engines that report their weights and accept orders to load others."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 
 
 class OrderAnswer(Enum):
-    """Say what an engine answered to an order."""
+    """Response of an engine to an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"
-    """It has that version already."""
+    """The engine already has that version."""
     BUSY = "busy"
-    """Another order is under way there, or its count of orders is another."""
+    """Another order is in progress, or the order count does not match."""
     OUTDATED = "outdated"
-    """It knows a newer fencing token."""
+    """The engine has seen a newer fencing token."""
     GONE = "gone"
-    """Another instance answered."""
+    """Another instance answered at this address."""
     REFUSED = "refused"
     UNKNOWN = "unknown"
-    """No answer: it may have arrived, or arrive later."""
+    """No response: the order may have arrived, or arrive later."""
 
 
 @dataclass(frozen=True)
 class WeightsOrder:
-    """Hold one order to load a version of a model's weights."""
+    """Order to load a version of a model's weights."""
 
     model: str
     version: int
     holder: str
     token: int
     expected: int | None
-    """Orders that the engine must have accepted so far, so that an order which
-    arrives late does nothing; None when nobody knows."""
+    """Number of orders that the engine must have accepted so far, so that an order that
+    arrives late has no effect; None if unknown."""
 
 
 @dataclass(frozen=True)
 class EngineReport:
-    """Hold an engine's own word on its weights."""
+    """Weights and order state reported by an engine."""
 
     versions: dict[str, int]
     is_busy: bool
     n_orders: int
-    """Orders that it accepted in this life."""
+    """Orders accepted by this incarnation."""
 
 
 class EngineOrders(ABC):
-    """Speak with engines about their weights."""
+    """Interface for weights reports and orders."""
 
     @abstractmethod
     async def report(self, engine: ForwardInstance) -> EngineReport | None:
-        """Return an engine's own word, or None without an answer."""
+        """Return the engine's report, or None without a response."""
 
     @abstractmethod
     async def order(self, engine: ForwardInstance, order: WeightsOrder) -> OrderAnswer:
-        """Give an order once."""
+        """Send an order once, without retries."""
--- a/packages/corianderlb-router/src/corianderlb_router/lease_duty.py
+++ b/packages/corianderlb-router/src/corianderlb_router/lease_duty.py
@@ -1,9 +1,9 @@
-"""Hold one lease for the whole fleet: renew it, wait for it, hand it over.
+"""Coordinate a single lease for the whole fleet: renew it, wait for it, hand it over.
 
-One router holds the lease and gives all orders. It tells the others of each renewal,
-so that they know without the store when it lapses. A holder that the store does not
-answer hands the lease to a router that the store answers: waiting for it to lapse
-would leave the engines without orders for as long as a lease and its last orders last.
+One router holds the lease and sends all orders. It announces each renewal, so that the
+other routers know without the store when the lease expires. A holder that cannot reach
+the store hands the lease to a router that can: waiting for it to expire would leave the
+engines without orders for the rest of the lease and the flight time of its last orders.
 """
 
 from __future__ import annotations
@@ -32,45 +32,45 @@
 from .store import StoreError
 
 TICK_S: Final = 0.1
-"""Pause of the holder between two looks at its own lease."""
+"""Interval at which the holder checks its own lease."""
 
-STANDBY_S: Final = 0.7
-"""Mean pause between two looks at the store of a router that hears no renewals. A
-successor starts its own wait at its first look after the last renewal, so this adds to
-a takeover."""
+STANDBY_POLL_S: Final = 0.7
+"""Mean interval between reads of the store by a router that receives no renewals. It
+adds to the takeover time, since a successor starts to wait at its first read after the
+last renewal."""
 
-FEW_ROUTERS: Final = 4
-"""Routers up to which each looks that often. In a larger fleet each looks more rarely,
-so that all of them together look as often as these few."""
+MAX_FULL_RATE_ROUTERS: Final = 4
+"""Number of routers up to which each polls at ``STANDBY_POLL_S``. Larger fleets poll
+more rarely per router, so that the total rate of store calls stays the same."""
 
-RENEWALS_MISSED: Final = 1.7
-"""Renewals without a word of them after which a router looks for itself: a holder may
-have renewed the lease and been lost before it could tell."""
+MISSED_RENEWALS: Final = 1.7
+"""Missed renewal announcements after which a router reads the store: the holder may
+have renewed the lease and failed before announcing it."""
 
-SPREAD_S: Final = 0.3
-"""Spread of the looks of routers that wait for the same lease to lapse."""
+JITTER_S: Final = 0.3
+"""Jitter of reads by routers that wait for the same lease to expire."""
 
-OFFER_S: Final = 0.3
-"""Pause between two offers to hand the lease over."""
+OFFER_INTERVAL_S: Final = 0.3
+"""Interval between offers to hand the lease over."""
 
-LEAST_LEFT_S: Final = 0.7
-"""Time before its end at which a lease is handed over even with orders under way: the
-way of three messages and a write."""
+HANDOVER_TIME_S: Final = 0.7
+"""Remaining lease time below which the lease is handed over even with orders in
+progress; covers three messages and a write."""
 
-RELEASE_S: Final = 1.0
-"""Longest wait for giving the lease back; it also lapses by itself."""
+RELEASE_TIMEOUT_S: Final = 1.0
+"""Timeout for releasing the lease; it also expires by itself."""
 
 
 @dataclass(frozen=True)
-class _Inheritance:
-    """Hold a handover that this router may act on."""
+class _Handover:
+    """Handover that names this router as the successor."""
 
     token: int
     settled_at: float
 
 
 class LeaseDuty:
-    """Keep the lease with some router of the fleet that the store answers."""
+    """Keep the lease with a router of the fleet that can reach the store."""
 
     def __init__(
         self,
@@ -89,22 +89,22 @@
         self._reaches_store = reaches_store
         self._n_routers = n_routers
         self._must_settle = must_settle
-        self._acted_at = -math.inf
+        self._last_order_at = -math.inf
         self._offered_at = -math.inf
-        self._heard_at = -math.inf
-        """When the last word of a renewal came."""
-        self._said_renewal = 0
-        self._interrupted = False
-        self._looked_at = -math.inf
-        self._inherited: _Inheritance | None = None
-        self._calling: trio.CancelScope | None = None
-        """Around a call about the lease that is under way."""
-        self._news = trio.Event()
-        """Set, and replaced, when a peer's word should end a pause."""
+        self._last_renewal_at = -math.inf
+        """When the last renewal announcement was received."""
+        self._announced_renewal = 0
+        self._is_interrupted = False
+        self._last_poll_at = -math.inf
+        self._accepted_handover: _Handover | None = None
+        self._store_call: trio.CancelScope | None = None
+        """Cancel scope around a store call in progress."""
+        self._wake_up = trio.Event()
+        """Set and replaced when a peer's message should end a pause."""
         self.stopping = False
-        """True from the end of a shutdown on: the lease is not taken any more."""
+        """Set at the end of a shutdown; the lease is no longer taken."""
         self.is_busy: Callable[[], bool] = lambda: False
-        """Whether orders are under way whose end should be waited for."""
+        """Whether orders are in progress that should complete before a handover."""
         for cls, handler in (
             (LeaseRenewed, self.on_lease_renewed),
             (LeaseOffer, self.on_lease_offer),
@@ -115,69 +115,71 @@
 
     @property
     def token(self) -> int:
-        """Fencing token of the lease as last known here."""
+        """Last known fencing token of the lease."""
         return self._lease.record.token
 
     @property
     def is_settling(self) -> bool:
-        """Whether the lease is held and an earlier holder's orders may still arrive."""
+        """Whether the lease is held but an earlier holder's orders may still arrive."""
         return self._lease.state == "settling"
 
     def may_act(self) -> bool:
-        """Return whether an order could be sent now."""
+        """Return whether an order may be sent now."""
         return self._lease.may_act() and not self.stopping
 
-    def acted(self) -> None:
-        """Take note that an order is being sent."""
-        self._acted_at = trio.current_time()
+    def record_order(self) -> None:
+        """Record that an order is being sent."""
+        self._last_order_at = trio.current_time()
 
     @property
-    def _quiet_for_s(self) -> float:
-        """Time since the last order under the lease, this router's or an earlier one's.
+    def _since_last_order_s(self) -> float:
+        """Time since the last order of this router or an earlier holder.
 
-        A router that has not acted yet still waits for orders of another.
+        A router that has sent no order yet still waits for those of an earlier holder.
         """
-        return trio.current_time() - max(self._acted_at, self._lease.others_until)
+        return trio.current_time() - max(
+            self._last_order_at, self._lease.others_send_until
+        )
 
     def lose(self) -> None:
-        """Stop acting: another holder is newer."""
+        """Stop sending orders: a newer holder exists."""
         self._lease.lose()
 
     async def run(self) -> None:
-        """Keep, take or wait for the lease until cancelled."""
+        """Renew, take or wait for the lease until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._offer_when_overdue)
             while True:
-                news = self._news
-                pause_s = TICK_S if self.stopping else await self._turn()
+                wake_up = self._wake_up
+                pause_s = TICK_S if self.stopping else await self._tick()
                 with trio.move_on_after(pause_s):
-                    await news.wait()
+                    await wake_up.wait()
 
     async def release(self) -> None:
-        """Give the lease back at a shutdown.
+        """Release the lease at shutdown.
 
-        A successor gives no order before the last one of this router must have
-        arrived.
+        A successor sends no order until the last one of this router must have arrived.
         """
         self.stopping = True
         if not self._lease.is_mine:
             return
         token = self.token
-        if self._quiet_for_s < self._lease.terms.flight_s:
-            # Free in the store, it would be taken by whoever looks, and orders of two
-            # routers could meet at an engine. The heir is told how long to wait.
+        if self._since_last_order_s < self._lease.terms.flight_s:
+            # A lease released in the store could be taken by any router at once, and
+            # the orders of both could overlap at an engine. The handover tells the
+            # successor how long to wait.
             self._lease.lose()
-            self._tell_handover(token, self._an_heir())
+            self._announce_handover(token, self._pick_successor())
             return
         try:
-            with trio.move_on_after(RELEASE_S):
+            with trio.move_on_after(RELEASE_TIMEOUT_S):
                 await self._lease.release()
-                self._tell_handover(token, self._an_heir())
+                self._announce_handover(token, self._pick_successor())
         except (StoreError, LeaseLostError) as exc:
             eliot.log_message(message_type="lease:not_released", reason=str(exc))
 
-    def _an_heir(self) -> InstanceId:
-        """Return a live router; nobody when this one is alone."""
+    def _pick_successor(self) -> InstanceId:
+        """Return a random live peer, or ``NOBODY`` if there is none."""
         others = [
             member.instance
             for member in self._peers.members()
@@ -185,137 +187,151 @@
         ]
         return self._rng.choice(others) if others else NOBODY
 
-    async def _turn(self) -> float:
-        """Look after the lease once; return how long to pause."""
-        inherited, self._inherited = self._inherited, None
-        if not self._lease.is_mine and inherited is None:
-            pause_s = self._quiet_s()
+    async def _tick(self) -> float:
+        """Check the lease once; return the delay until the next check."""
+        accepted, self._accepted_handover = self._accepted_handover, None
+        if not self._lease.is_mine and accepted is None:
+            pause_s = self._renewed_delay_s()
             if pause_s > 0:
                 return pause_s
-        self._looked_at = trio.current_time()
+        self._last_poll_at = trio.current_time()
         try:
-            with trio.CancelScope() as self._calling:
-                if inherited is not None and not self._lease.is_mine:
-                    await self._lease.take_over(inherited.token, inherited.settled_at)
+            with trio.CancelScope() as self._store_call:
+                if accepted is not None and not self._lease.is_mine:
+                    await self._lease.take_over(accepted.token, accepted.settled_at)
                 else:
                     await self._lease.acquire(must_settle=self._must_settle)
         except (StoreError, LeaseLostError) as exc:
-            self._note_interruption(exc)
-            return TICK_S if self._lease.is_mine else self._standby_s()
-        self._interrupted = False
+            self._log_interruption(exc)
+            return TICK_S if self._lease.is_mine else self._standby_delay_s()
+        self._is_interrupted = False
         if not self._lease.is_mine:
-            return self._quiet_s() or self._standby_s()
-        self._tell_renewal()
+            return self._renewed_delay_s() or self._standby_delay_s()
+        self._announce_renewal()
         return TICK_S
 
-    def _note_interruption(self, exc: CorianderError) -> None:
-        """Log that the lease cannot be looked at, once until it can be again."""
-        if not self._interrupted:
-            self._interrupted = True
+    def _log_interruption(self, exc: CorianderError) -> None:
+        """Log a failed store call, once until the next success."""
+        if not self._is_interrupted:
+            self._is_interrupted = True
             eliot.log_message(message_type="lease:interrupted", reason=str(exc))
 
-    def _standby_s(self) -> float:
-        """Return the pause between two looks at the store."""
-        mean_s = STANDBY_S * max(1.0, self._n_routers() / FEW_ROUTERS)
+    def _standby_delay_s(self) -> float:
+        """Return the delay until the next read of the store."""
+        mean_s = STANDBY_POLL_S * max(1.0, self._n_routers() / MAX_FULL_RATE_ROUTERS)
         pause_s = mean_s * self._rng.uniform(0.7, 1.3)
         terms = self._lease.terms
-        lapse_s = terms.lease_s + terms.margin_s + self._rng.uniform(0.0, SPREAD_S)
-        return min(pause_s, lapse_s)
+        expiry_s = terms.lease_s + terms.margin_s + self._rng.uniform(0.0, JITTER_S)
+        return min(pause_s, expiry_s)
 
-    def _quiet_s(self) -> float:
-        """Return how long the renewals that were heard make looks needless.
+    def _renewed_delay_s(self) -> float:
+        """Return for how long received renewals make reads of the store unnecessary.
 
-        Once they stop, the next look is at the moment when the lease lapses.
+        When they stop, the next read is at the moment when the lease expires.
         """
         now = trio.current_time()
         left_s = self._lease.lapses_at - now
         terms = self._lease.terms
-        unheard_s = now - self._heard_at
-        if left_s <= 0 or unheard_s > 2 * (terms.lease_s + terms.margin_s):
+        since_renewal_s = now - self._last_renewal_at
+        if left_s <= 0 or since_renewal_s > 2 * (terms.lease_s + terms.margin_s):
             return 0.0
-        missed_s = RENEWALS_MISSED * terms.lease_s / 3
-        if unheard_s < missed_s:
-            return missed_s - unheard_s + self._rng.uniform(0.0, SPREAD_S)
-        if self._looked_at < self._heard_at:
+        missed_s = MISSED_RENEWALS * terms.lease_s / 3
+        if since_renewal_s < missed_s:
+            return missed_s - since_renewal_s + self._rng.uniform(0.0, JITTER_S)
+        if self._last_poll_at < self._last_renewal_at:
             return 0.0
-        return left_s + self._rng.uniform(0.0, SPREAD_S)
+        return left_s + self._rng.uniform(0.0, JITTER_S)
 
-    # What is told and heard.
+    # Messages between routers.
 
-    def _tell_renewal(self) -> None:
-        """Tell the peers of a renewal, once for each."""
+    def _announce_renewal(self) -> None:
+        """Announce the latest renewal to the peers, once."""
         record = self._lease.record
-        if record.renewal == self._said_renewal:
+        if record.renewal == self._announced_renewal:
             return
-        self._said_renewal = record.renewal
-        word = LeaseRenewed(
+        self._announced_renewal = record.renewal
+        announcement = LeaseRenewed(
             self._lease.upstream,
             record.holder,
             record.token,
             record.renewal,
             self._lease.version,
         )
-        self._peers.broadcast(word)
+        self._peers.broadcast(announcement)
 
-    async def on_lease_renewed(self, sender: InstanceId, word: LeaseRenewed) -> None:
-        """Take a holder's word that its lease goes on."""
-        if word.name != self._lease.upstream or word.holder == self._node:
+    async def on_lease_renewed(
+        self, sender: InstanceId, announcement: LeaseRenewed
+    ) -> None:
+        """Record a renewal announced by the holder and forward it."""
+        if (
+            announcement.name != self._lease.upstream
+            or announcement.holder == self._node
+        ):
             return
         known = self._lease.record
-        if (word.token, word.renewal) <= (known.token, known.renewal):
+        if (announcement.token, announcement.renewal) <= (known.token, known.renewal):
             return
-        record = LeaseRecord(word.token, word.holder, 0, word.renewal)
-        self._lease.heard_renewal(record, word.version)
-        self._heard_at = trio.current_time()
-        self._peers.pass_on(word)
+        record = LeaseRecord(
+            announcement.token, announcement.holder, 0, announcement.renewal
+        )
+        self._lease.merge_renewal(record, announcement.version)
+        self._last_renewal_at = trio.current_time()
+        self._peers.pass_on(announcement)
 
     async def _offer_when_overdue(self) -> None:
-        """Offer the lease while the store leaves renewals unanswered."""
+        """Offer the lease to the peers while the store does not answer renewals."""
         while True:
             await trio.sleep(TICK_S)
             now = trio.current_time()
-            wanted = self._lease.is_overdue and now - self._offered_at >= OFFER_S
-            if wanted and not self.stopping:
+            is_due = (
+                self._lease.is_overdue and now - self._offered_at >= OFFER_INTERVAL_S
+            )
+            if is_due and not self.stopping:
                 self._offered_at = now
                 self._peers.broadcast(LeaseOffer(self._lease.upstream, self.token))
 
     async def on_lease_offer(self, sender: InstanceId, offer: LeaseOffer) -> None:
-        """Answer that the store answers here, if it does."""
+        """Accept the offer if this router reaches the store."""
         if offer.name == self._lease.upstream and self._reaches_store():
             if not self.stopping and not self._lease.is_mine:
                 self._peers.send(sender, LeaseWish(offer.name, offer.token))
 
     async def on_lease_wish(self, sender: InstanceId, wish: LeaseWish) -> None:
-        """Stop, and let the first router that can take the lease."""
+        """Stop sending orders and hand the lease to the first router that accepts."""
         if wish.name != self._lease.upstream or wish.token != self.token:
             return
         if not self._lease.is_overdue:
             return
         left_s = self._lease.send_before - trio.current_time()
-        if self.is_busy() and left_s > LEAST_LEFT_S:
+        if self.is_busy() and left_s > HANDOVER_TIME_S:
             return
-        if self._calling is not None:
-            # A renewal that is answered after this must not revive the lease.
-            self._calling.cancel()
+        if self._store_call is not None:
+            # The response to a renewal in progress must not revive the lease.
+            self._store_call.cancel()
         token = self.token
         self._lease.lose()
-        self._tell_handover(token, sender)
+        self._announce_handover(token, sender)
 
-    def _tell_handover(self, token: int, heir: InstanceId) -> None:
-        quiet_s = min(60.0, self._quiet_for_s)
-        word = LeaseHandover(self._lease.upstream, token, heir, quiet_s)
-        self._peers.broadcast(word)
+    def _announce_handover(self, token: int, successor: InstanceId) -> None:
+        quiet_s = min(60.0, self._since_last_order_s)
+        announcement = LeaseHandover(self._lease.upstream, token, successor, quiet_s)
+        self._peers.broadcast(announcement)
         eliot.log_message(
-            message_type="lease:handed_over", heir=heir, token=token, quiet_s=quiet_s
+            message_type="lease:handed_over",
+            heir=successor,
+            token=token,
+            quiet_s=quiet_s,
         )
 
-    async def on_lease_handover(self, sender: InstanceId, word: LeaseHandover) -> None:
-        """Take the lease over, if it is this router's to take."""
-        if word.name != self._lease.upstream or word.heir != self._node:
+    async def on_lease_handover(
+        self, sender: InstanceId, announcement: LeaseHandover
+    ) -> None:
+        """Take the lease over if this router is the named successor."""
+        if announcement.name != self._lease.upstream or announcement.heir != self._node:
             return
         settled_at = trio.current_time()
         if self._must_settle:
-            settled_at += max(0.0, self._lease.terms.flight_s - word.quiet_s)
-        self._inherited = _Inheritance(word.token, settled_at)
-        self._news.set()
-        self._news = trio.Event()
+            settled_at += max(0.0, self._lease.terms.flight_s - announcement.quiet_s)
+        self._accepted_handover = _Handover(announcement.token, settled_at)
+        self._wake_up.set()
+        self._wake_up = trio.Event()
--- a/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
@@ -1,4 +1,4 @@
-"""Hold the lease on the orders to one upstream, in the platform's store."""
+"""Hold the lease on the orders to one upstream in the platform's object store."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 )
 
 OVERDUE_S: Final = 0.4
-"""How long after its time a renewal counts as unanswered: a hundred times what the
-store usually takes."""
+"""Delay after which a due renewal counts as unanswered; far above the usual response
+time of the store."""
 
 LEASE_PREFIX: Final = "leases/orders/"
-"""Where the leases live in the store."""
+"""Key prefix of the leases in the store."""
 
 
 class LeaseHolder:
-    """Take, renew and give back one lease; know at any moment whether it is held.
+    """Acquire, renew and release one lease, and tell at any moment whether it is held.
 
-    A router can be paused at any line. So nothing here answers "held" from memory of
-    an earlier check: ``send_before`` is compared with the clock where the bytes leave.
+    A router can be paused at any line, so an earlier check proves nothing:
+    ``send_before`` is compared with the clock where the bytes are written to the
+    socket.
     """
 
     def __init__(
@@ -65,36 +66,36 @@
         self._version: str | None = None
         self._valid_until = float("-inf")
         self._settled_at = 0.0
-        self._others_until = float("-inf")
+        self._others_send_until = float("-inf")
         self._own_token = 0
-        """Token under which this process itself last held the lease."""
+        """Token under which this process last held the lease."""
 
     @property
     def state(self) -> str:
-        """The state of the lease at this router."""
+        """State of the lease at this router."""
         return self._cycle.state
 
     @property
     def record(self) -> LeaseRecord:
-        """The record as this router last read or wrote it."""
+        """Record as last read or written by this router."""
         return self._record
 
     @property
     def send_before(self) -> float:
-        """The router's clock after which no byte of an order may be sent.
+        """Time, on this router's clock, after which no byte of an order may be sent.
 
         An order sent later could reach the engine after the next holder's first one.
         """
         return self._valid_until - self.terms.send_s
 
     def may_act(self) -> bool:
-        """Return whether an order could be sent now."""
+        """Return whether an order may be sent now."""
         return self.state == "held" and trio.current_time() < self.send_before
 
     def status(self) -> LeaseStatus:
-        """Return what operators see."""
-        mine = self._record.is_of(self._router, self._epoch)
-        remaining_s = self._valid_until - trio.current_time() if mine else 0.0
+        """Return the lease status shown to operators."""
+        is_own = self._record.is_of(self._router, self._epoch)
+        remaining_s = self._valid_until - trio.current_time() if is_own else 0.0
         return LeaseStatus(
             name=f"orders/{self.upstream}",
             holder=self._record.holder,
@@ -103,94 +104,94 @@
         )
 
     async def acquire(self, must_settle: bool, least_token: int = 1) -> bool:
-        """Look at the lease once, take it if it is free, and return ``may_act``.
+        """Read the lease, take it if it is free, and return ``may_act``.
 
-        After a holder that stopped without giving it back, ``must_settle`` makes this
-        one wait until the last order of the old one must have arrived: an engine that
-        ignores fencing tokens would take it even after a newer order.
+        With ``must_settle``, a router that takes over an expired lease waits until the
+        last order of the earlier holder must have arrived: an engine that ignores
+        fencing tokens would accept it even after a newer order.
         """
         now = trio.current_time()
         if self.state == "settling" and now >= self._settled_at:
             self._move("settled")
         if self.state in ("held", "settling") and now < self._valid_until:
-            await self.keep()
+            await self.renew_if_due()
             return self.may_act()
         self._move("lose")
         stored = await self._read()
         if stored is not None and not self._is_free(stored, now):
             self._move("see_other")
             return False
-        others_until = self._last_order_before(now)
-        settled_at = others_until + self.terms.flight_s if must_settle else now
+        others_send_until = self._last_order_before(now)
+        settled_at = others_send_until + self.terms.flight_s if must_settle else now
         if self._record.is_of(self._router, self._epoch):
-            # An earlier life's orders were this router's too; their count keeps a late
-            # one from doing anything.
+            # Orders of an earlier incarnation came from this router too; their order
+            # count keeps late ones from taking effect.
             waits = self._record.is_settling
             settled_at = max(now, settled_at) if waits else now
         await self._take(stored, least_token, settled_at)
-        self._begin(settled_at, others_until)
+        self._start_holding(settled_at, others_send_until)
         return self.may_act()
 
     def _last_order_before(self, now: float) -> float:
-        """Return until when the record just read let others begin to send orders."""
+        """Return until when other holders may send orders, by the record just read."""
         record = self._record
         if record.holder == NOBODY:
             return now - self.terms.flight_s
         if not record.is_of(self._router, self._epoch):
             return self._watch.sends_until(self.terms)
-        # What an earlier life of this router did is not known here.
-        return self._others_until if record.token == self._own_token else now
+        # The orders of an earlier incarnation of this router are unknown here.
+        return self._others_send_until if record.token == self._own_token else now
 
     async def take_over(self, token: int, settled_at: float) -> bool:
-        """Take the lease from a holder that said it has stopped; return ``may_act``.
+        """Take the lease after an announced handover; return ``may_act``.
 
-        ``settled_at`` is when its last order must have arrived. False, and nothing
-        taken, when somebody else was first.
+        ``settled_at`` is when the last order of that holder must have arrived. Return
+        False and take nothing when another router was first.
         """
         stored = await self._read()
         if stored is None or self._record.token != token:
             return False
         await self._take(stored, token + 1, settled_at)
-        self._begin(settled_at, settled_at - self.terms.flight_s)
+        self._start_holding(settled_at, settled_at - self.terms.flight_s)
         return self.may_act()
 
-    def _begin(self, settled_at: float, others_until: float) -> None:
-        """Hold the lease, and act from a moment on."""
+    def _start_holding(self, settled_at: float, others_send_until: float) -> None:
+        """Enter the held state, or the settling state until ``settled_at``."""
         self._move("see_other")
         waits = settled_at > trio.current_time()
         self._move("take_lapsed" if waits else "take_free")
         self._settled_at = settled_at
-        self._others_until = others_until
+        self._others_send_until = others_send_until
         self._own_token = self._record.token
 
     @property
     def is_mine(self) -> bool:
-        """Whether this router holds the lease, settling included."""
+        """Whether this router holds the lease, including while settling."""
         return self.state in ("held", "settling")
 
     @property
     def is_overdue(self) -> bool:
-        """Whether a renewal should have been answered a while ago."""
+        """Whether a renewal has been unanswered for too long."""
         left_s = self._valid_until - trio.current_time()
         return self.is_mine and left_s < self.terms.lease_s * 2 / 3 - OVERDUE_S
 
     @property
-    def others_until(self) -> float:
-        """When another holder, or an earlier life of this one, last can have sent."""
-        return self._others_until
+    def others_send_until(self) -> float:
+        """Latest time at which another holder or incarnation may have sent an order."""
+        return self._others_send_until
 
     @property
     def lapses_at(self) -> float:
-        """When another's lease lapses, if nothing newer is seen."""
+        """When another router's lease expires if it is not renewed."""
         return self._watch.lapses_at(self.terms)
 
     @property
     def version(self) -> str:
-        """Version of the record in the store, as last written here."""
+        """Version of the record in the store as last written by this router."""
         return self._version or ""
 
-    def heard_renewal(self, record: LeaseRecord, version: str) -> None:
-        """Take a holder's word that it has renewed the lease."""
+    def merge_renewal(self, record: LeaseRecord, version: str) -> None:
+        """Record a renewal announced by the holder."""
         newer = (record.token, record.renewal) > (
             self._record.token,
             self._record.renewal,
@@ -199,29 +200,29 @@
             self._record = record
             self._watch.see(version, trio.current_time())
 
-    async def keep(self) -> None:
-        """Renew when a third of the time is used up."""
+    async def renew_if_due(self) -> None:
+        """Renew the lease when a third of its duration has passed."""
         left_s = self._valid_until - trio.current_time()
         if left_s < self.terms.lease_s * 2 / 3:
             await self._write(LeaseRecord.renewed)
 
-    async def intend(self, order: Order) -> None:
-        """Write down an order before it is sent; that proves the lease as well."""
+    async def record_intent(self, order: Order) -> None:
+        """Store an order before it is sent; the write also renews the lease."""
         await self._write(lambda record: record.intending(order))
 
-    async def conclude(self, outcome: OrderOutcome) -> None:
-        """Write down how an order ended."""
+    async def record_outcome(self, outcome: OrderOutcome) -> None:
+        """Store the outcome of an order."""
         await self._write(lambda record: record.with_outcome(outcome))
 
     async def release(self) -> None:
-        """Give the lease back, so that the next holder need not wait."""
+        """Release the lease, so that the next holder need not wait."""
         if self.state in ("held", "settling"):
             await self._write(LeaseRecord.released)
             self._valid_until = float("-inf")
         self._move("release")
 
     def lose(self) -> None:
-        """Stop acting: another holder is newer."""
+        """Stop sending orders: a newer holder exists."""
         self._valid_until = float("-inf")
         self._move("lose")
 
@@ -247,11 +248,13 @@
             else:
                 version = await self._store.update(self._key, data, stored.version)
         except StoreConflictError as exc:
-            raise LeaseLostError(f"{self._key}: another router was first") from exc
+            raise LeaseLostError(
+                f"{self._key}: another router took the lease first"
+            ) from exc
         self._adopt(record, version, started_at)
 
     async def _write(self, change: Callable[[LeaseRecord], LeaseRecord]) -> None:
-        """Replace the record; the lease lasts from before the write on."""
+        """Replace the record; the lease duration counts from the start of the write."""
         record = change(self._record)
         if record.is_settling and trio.current_time() >= self._settled_at:
             record = dataclasses.replace(record, is_settling=False)
@@ -262,22 +265,22 @@
                 self._key, to_cbor(record), self._version
             )
         except (StoreConflictError, StoreUnknownError):
-            version = await self._settle_write(record)
+            version = await self._resolve_write(record)
         self._adopt(record, version, started_at)
 
-    async def _settle_write(self, wanted: LeaseRecord) -> str:
-        """Read back after a write whose effect is not known.
+    async def _resolve_write(self, desired: LeaseRecord) -> str:
+        """Read the record back after a write with unknown effect.
 
-        A conflict can come from this router's own earlier write that arrived late.
+        A conflict can be caused by an own earlier write that arrived late.
         """
         stored = await self._read()
-        if stored is not None and self._record == wanted:
+        if stored is not None and self._record == desired:
             return stored.version
-        mine = self._record.is_of(self._router, self._epoch)
-        if stored is None or not mine or self._record.token != wanted.token:
+        is_own = self._record.is_of(self._router, self._epoch)
+        if stored is None or not is_own or self._record.token != desired.token:
             self.lose()
-            raise LeaseLostError(f"{self._key}: another router holds it now")
-        return await self._store.update(self._key, to_cbor(wanted), stored.version)
+            raise LeaseLostError(f"{self._key}: another router holds the lease now")
+        return await self._store.update(self._key, to_cbor(desired), stored.version)
 
     async def _read(self) -> StoredObject | None:
         stored = await self._store.get(self._key)
@@ -288,7 +291,7 @@
             self._record = from_cbor(LeaseRecord, stored.value)
         except DecodeError as exc:
             raise StoreUnavailableError(
-                f"{self._key} cannot be read ({exc}); no orders are given until an "
+                f"{self._key} cannot be decoded ({exc}); no orders are sent until an "
                 "operator repairs it, since its fencing token must not be lost"
             ) from exc
         return stored
--- a/packages/corianderlb-router/src/corianderlb_router/load_slot_store.py
+++ b/packages/corianderlb-router/src/corianderlb_router/load_slot_store.py
@@ -1,4 +1,4 @@
-"""Bound the weight loads at once over the fleet, by one object in the store."""
+"""Limit concurrent weight loads across the fleet with one object in the store."""
 
 from __future__ import annotations
 
@@ -18,22 +18,21 @@
 )
 
 SLOTS_KEY: Final = "orders/loads"
-"""The object that holds the loads under way."""
+"""Key of the object that lists the loads in progress."""
 
 SLOT_TIMEOUT_S: Final = 90.0
-"""After so long a slot is taken for one that nobody will give back: above the longest
-wait for a load plus the time until a lease lapses and the next holder has settled."""
+"""Time after which a slot counts as abandoned; longer than the load timeout plus the
+time for a lease to expire and the next holder to settle."""
 
 MAX_TRIES: Final = 5
-"""Conflicts with other routers before the next turn tries again."""
+"""Attempts to release a slot in spite of conflicting writes."""
 
 
 class LoadSlotStore:
-    """Take and give back slots for weight loads.
+    """Acquire and release slots for weight loads.
 
-    The weight store serves two loads well. With more at once each takes longer, and
-    engines stay without weights for longer; one would notice it as requests refused
-    with ``UPSTREAM_REFUSED`` all through a change.
+    More concurrent loads than slots would slow each one down at the weight store and
+    leave engines without weights for longer; callers would get ``UPSTREAM_REFUSED``.
     """
 
     def __init__(self, store: ObjectStore) -> None:
@@ -41,34 +40,36 @@
         self._watch = SlotWatch()
 
     async def take(self, slot: LoadSlot) -> bool:
-        """Take a slot; return False when all are taken or others were first."""
+        """Take a slot; return False when none is free or another router was first."""
         stored, held = await self._read()
-        dropped = self._watch.overdue(held, SLOT_TIMEOUT_S, trio.current_time())
-        wanted = held.take(slot, dropped)
-        if wanted is None:
+        expired = self._watch.overdue(held, SLOT_TIMEOUT_S, trio.current_time())
+        desired = held.take(slot, expired)
+        if desired is None:
             return False
         try:
-            await self._write(stored, wanted)
+            await self._write(stored, desired)
         except (StoreConflictError, StoreUnknownError):
             return slot in (await self._read())[1].slots
         return True
 
-    async def give_back(self, upstream: str) -> None:
-        """Give an upstream's slot back."""
+    async def free_slot(self, upstream: str) -> None:
+        """Release the slot of an upstream."""
         for _ in range(MAX_TRIES):
             stored, held = await self._read()
-            wanted = held.without(upstream)
-            if wanted == held:
+            desired = held.without(upstream)
+            if desired == held:
                 return
             try:
-                await self._write(stored, wanted)
+                await self._write(stored, desired)
                 return
             except (StoreConflictError, StoreUnknownError):
                 continue
-        raise StoreUnavailableError(f"{SLOTS_KEY}: too many conflicts; tried again")
+        raise StoreUnavailableError(
+            f"{SLOTS_KEY}: gave up after {MAX_TRIES} conflicting writes"
+        )
 
-    async def _write(self, stored: StoredObject | None, wanted: LoadSlots) -> None:
-        data = to_cbor(wanted)
+    async def _write(self, stored: StoredObject | None, desired: LoadSlots) -> None:
+        data = to_cbor(desired)
         if stored is None:
             await self._store.create(SLOTS_KEY, data)
         else:
@@ -82,5 +83,5 @@
             return stored, from_cbor(LoadSlots, stored.value)
         except DecodeError as exc:
             raise StoreUnavailableError(
-                f"{SLOTS_KEY} cannot be read ({exc}); delete it while nothing loads"
+                f"{SLOTS_KEY} cannot be decoded ({exc}); delete it while no loads run"
             ) from exc
--- a/packages/corianderlb-router/src/corianderlb_router/order_keeper.py
+++ b/packages/corianderlb-router/src/corianderlb_router/order_keeper.py
@@ -17,15 +17,15 @@
 from .interface import CatalogueSource, PeerNetwork, UpstreamDirectory
 from .lease_holder import LeaseHolder
 from .load_slot_store import LoadSlotStore
-from .order_task import OrderParts, OrderTask
+from .order_task import OrderContext, OrderTask
 from .store import ObjectStore
 
-LOOK_S: Final = 1.0
-"""Pause between two looks at which upstreams there are."""
+POLL_S: Final = 1.0
+"""Interval between checks for new upstreams in the catalogue."""
 
 
 class OrderKeeper:
-    """Give the orders of all upstreams that this router is home of."""
+    """Send the orders of all upstreams whose primary is this router."""
 
     def __init__(
         self,
@@ -46,8 +46,8 @@
         self._network = network
         self._terms = terms or OrderSettings()
         self._tasks: dict[str, OrderTask] = {}
-        self._parts = OrderParts(
-            catalogue, directory, control, LoadSlotStore(store), self.is_home, rng
+        self._context = OrderContext(
+            catalogue, directory, control, LoadSlotStore(store), self.is_primary, rng
         )
 
     async def run(self) -> None:
@@ -56,12 +56,12 @@
             while True:
                 for upstream in self._engine_upstreams():
                     if upstream not in self._tasks:
-                        task = self._tasks[upstream] = self._task(upstream)
+                        task = self._tasks[upstream] = self._make_task(upstream)
                         nursery.start_soon(task.run)
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_S)
 
-    def is_home(self, upstream: str) -> bool:
-        """Return whether this router gives an upstream's orders."""
+    def is_primary(self, upstream: str) -> bool:
+        """Return whether this router is the primary of an upstream."""
         live = [
             member.instance
             for member in self._network.members()
@@ -71,15 +71,15 @@
         return home(key, {*live, self._router}) == self._router
 
     def leases(self) -> tuple[LeaseStatus, ...]:
-        """Return the leases that this router has had to do with."""
+        """Return the leases that this router has read or held."""
         found = [task.status() for task in self._tasks.values()]
         return tuple(lease for lease in found if lease.fencing_token)
 
-    def _task(self, upstream: str) -> OrderTask:
+    def _make_task(self, upstream: str) -> OrderTask:
         lease = LeaseHolder(
             self._store, upstream, self._router, self._epoch, self._terms
         )
-        return OrderTask(lease, self._parts)
+        return OrderTask(lease, self._context)
 
     def _engine_upstreams(self) -> list[str]:
         in_force = self._catalogue.current()
--- a/packages/corianderlb-router/src/corianderlb_router/order_task.py
+++ b/packages/corianderlb-router/src/corianderlb_router/order_task.py
@@ -1,9 +1,9 @@
-"""Give the orders that one engine upstream needs, under its lease.
+"""Send the orders that one engine upstream needs, under its lease.
 
-The upstream's home router (by rendezvous over the live routers) looks at the engines'
-reports. As long as they hold what the catalogue asks for, the store is not called at
-all. Otherwise it takes the lease, reads the engines' real state, and gives one order
-after the other: intent first, then the order, then the wait until the engine shows it.
+The primary router of the upstream (by rendezvous hashing over the live routers) checks
+the engines' reports. It makes no store call while they match the catalogue. Otherwise
+it takes the lease, reads the state from the engines, and sends one order at a time: it
+stores the intent, sends the order and waits until the engine reports the result.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 from .load_slot_store import LoadSlotStore
 from .store import StoreError
 
-TURN_S: Final = 0.5
-"""Pause between two looks at the reports, with jitter."""
+TICK_S: Final = 0.5
+"""Mean interval between checks of the reports; jitter is added."""
 
 POLL_S: Final = 0.2
-"""Pause between two questions to an engine that loads."""
+"""Interval between status requests to a loading engine."""
 
 LOAD_TIMEOUT_S: Final = 30.0
-"""Longest wait until an engine shows what it was told to load."""
+"""Timeout for an engine to report an ordered load as done."""
 
-RETRY_S: Final = 5.0
-"""How long an engine is left alone after an order to it failed."""
+RETRY_BACKOFF_S: Final = 5.0
+"""Backoff after a failed order to an engine."""
 
 _EVENTS: Final = {
     OrderReply.TAKEN: "take",
@@ -59,70 +59,70 @@
 
 
 @dataclass(frozen=True)
-class OrderParts:
-    """Hold what the order tasks of a router share."""
+class OrderContext:
+    """Dependencies shared by the order tasks of a router."""
 
     catalogue: CatalogueSource
     directory: UpstreamDirectory
     control: EngineControl
     slots: LoadSlotStore
-    is_home: Callable[[str], bool]
-    """Whether this router is the home of an upstream."""
+    is_primary: Callable[[str], bool]
+    """Whether this router is the primary of an upstream."""
     rng: random.Random
 
 
 class OrderTask:
-    """Keep the engines of one upstream at what the catalogue asks for."""
+    """Keep the engines of one upstream in the state that the catalogue requests."""
 
-    def __init__(self, lease: LeaseHolder, parts: OrderParts) -> None:
+    def __init__(self, lease: LeaseHolder, context: OrderContext) -> None:
         self._lease = lease
-        self._parts = parts
+        self._context = context
         self._upstream = lease.upstream
-        self._left_alone: dict[InstanceId, float] = {}
+        self._backoff_until: dict[InstanceId, float] = {}
         self._has_slot = False
 
     def status(self) -> LeaseStatus:
-        """Return the lease as operators see it."""
+        """Return the lease status shown to operators."""
         return self._lease.status()
 
     async def run(self) -> None:
-        """Look after the upstream until cancelled."""
+        """Run until cancelled."""
         while True:
             try:
-                await self.turn()
+                await self.tick()
             except (LeaseLostError, StoreError) as exc:
                 eliot.log_message(
                     message_type="orders:interrupted",
                     upstream=self._upstream,
                     reason=str(exc),
                 )
-            await trio.sleep(TURN_S * self._parts.rng.uniform(0.5, 1.5))
+            await trio.sleep(TICK_S * self._context.rng.uniform(0.5, 1.5))
 
-    async def turn(self) -> None:
-        """Give all orders that are needed now, if this router is the one to give them.
+    async def tick(self) -> None:
+        """Send all orders that are due if this router is the primary.
 
-        Raise ``LeaseLostError`` or a ``StoreError`` when it has to stop in between.
+        Raise ``LeaseLostError`` or a ``StoreError`` when interrupted.
         """
-        if not self._parts.is_home(self._upstream) or not self._seems_needed():
+        if not self._context.is_primary(self._upstream) or not self._may_need_orders():
             if self._lease.state == "held":
-                await self._give_back()
+                await self._release()
             return
         must_settle = self._fencing() is Fencing.IGNORED
-        if not await self._lease.acquire(must_settle, self._least_token()):
+        if not await self._lease.acquire(must_settle, self._min_token()):
             return
-        await self._give_all()
-        await self._give_back()
+        await self._send_orders()
+        await self._release()
 
-    async def _give_all(self) -> None:
+    async def _send_orders(self) -> None:
         self._has_slot = False
         busy_until = trio.current_time() + LOAD_TIMEOUT_S
-        while self._parts.is_home(self._upstream):
+        while self._context.is_primary(self._upstream):
             engines = await self._read_engines()
-            await self._lease.keep()
+            await self._lease.renew_if_due()
             is_loading = any(engine.report.loading for engine in engines)
             if is_loading and trio.current_time() < busy_until:
-                # An order of an earlier holder, or one that was given up on. A second
-                # load beside it would be one more than the slots count.
+                # A load ordered earlier is still in progress. A second one would exceed
+                # the number of load slots.
                 await trio.sleep(POLL_S)
                 continue
             need = self._choose(engines)
@@ -131,54 +131,54 @@
             if not await self._take_slot():
                 await trio.sleep(POLL_S)
                 continue
-            await self._carry_out(need)
+            await self._execute(need)
             busy_until = trio.current_time() + LOAD_TIMEOUT_S
 
     def _choose(self, engines: list[EngineState]) -> Need | None:
-        """Return what to do next; None when nothing is left that could be done."""
+        """Return the next need that can be met now, or None."""
         now = trio.current_time()
         catalogue = self._catalogue()
         if catalogue.version < self._lease.record.catalogue_version:
-            # A holder that had a newer catalogue was here. Orders by the older one
-            # would bring old weights back.
+            # An earlier holder had a newer catalogue. Orders from the older one would
+            # restore replaced weights.
             return None
         ready = [
             engine
             for engine in engines
-            if self._left_alone.get(engine.instance, now) <= now
+            if self._backoff_until.get(engine.instance, now) <= now
         ]
         return next(iter(needs(catalogue, self._upstream, ready)), None)
 
     async def _read_engines(self) -> list[EngineState]:
-        """Return the real state of the engines, from themselves and not from gossip."""
+        """Return the state of the engines, read from them and not from gossip."""
         found: list[EngineState] = []
 
         async def read(engine: UpstreamInstance) -> None:
-            state = await self._parts.control.read(engine)
+            state = await self._context.control.read(engine)
             if state is not None:
                 found.append(state)
 
         async with trio.open_nursery() as nursery:
-            for engine in self._parts.directory.instances(self._upstream):
+            for engine in self._context.directory.instances(self._upstream):
                 nursery.start_soon(read, engine)
         return found
 
     async def _take_slot(self) -> bool:
         slot = LoadSlot(self._upstream, uuid.uuid4().hex, self._lease.record.token)
-        self._has_slot = await self._parts.slots.take(slot) or self._has_slot
+        self._has_slot = await self._context.slots.take(slot) or self._has_slot
         return self._has_slot
 
-    async def _carry_out(self, need: Need) -> None:
+    async def _execute(self, need: Need) -> None:
         version = self._catalogue().version
         order = need.as_order(uuid.uuid4().hex, self._upstream, version)
         cycle = LifeCycle("order")
-        await self._lease.intend(order)
+        await self._lease.record_intent(order)
         cycle.send("intend")
         token = self._lease.record.token
         reply = OrderReply.NOT_SENT
-        # Looked at again where the bytes leave: this router may be paused here.
+        # Checked again where the bytes are sent, since this router may be paused here.
         if self._lease.may_act():
-            reply = await self._parts.control.give(
+            reply = await self._context.control.send_order(
                 order,
                 need.engine.address,
                 token,
@@ -190,25 +190,27 @@
             met = await self._wait_until_met(order, need)
             cycle.send("confirm" if met else "give_up")
         if cycle.state != "done":
-            self._left_alone[order.instance] = trio.current_time() + RETRY_S
+            self._backoff_until[order.instance] = trio.current_time() + RETRY_BACKOFF_S
         self._log(order, token, cycle.state)
         if reply is OrderReply.REFUSED:
             self._lease.lose()
-            raise LeaseLostError(f"{order.instance} has had a newer holder's order")
-        await self._lease.conclude(OrderOutcome(order, token, cycle.state))
+            raise LeaseLostError(
+                f"{order.instance} refused token {token}: it has accepted a newer one"
+            )
+        await self._lease.record_outcome(OrderOutcome(order, token, cycle.state))
 
     async def _wait_until_met(self, order: Order, need: Need) -> bool:
-        """Ask the engine until it shows what it was told to load."""
+        """Poll the engine until it reports the order as done."""
         engines = {
             engine.instance: engine
-            for engine in self._parts.directory.instances(self._upstream)
+            for engine in self._context.directory.instances(self._upstream)
         }
         engine = engines.get(need.engine.instance)
         with trio.move_on_after(LOAD_TIMEOUT_S):
             while engine is not None:
                 await trio.sleep(POLL_S)
-                await self._lease.keep()
-                state = await self._parts.control.read(engine)
+                await self._lease.renew_if_due()
+                state = await self._context.control.read(engine)
                 if state is None:
                     continue
                 if state.report.epoch != order.epoch:
@@ -217,25 +219,25 @@
                     return True
         return False
 
-    async def _give_back(self) -> None:
-        """Let others load and hold the lease; the slot first, it rests on the lease."""
+    async def _release(self) -> None:
+        """Release the load slot, then the lease that protects it."""
         if self._has_slot:
-            await self._parts.slots.give_back(self._upstream)
+            await self._context.slots.free_slot(self._upstream)
             self._has_slot = False
         await self._lease.release()
 
-    def _seems_needed(self) -> bool:
-        """Return whether the newest reports show that an order may be needed."""
+    def _may_need_orders(self) -> bool:
+        """Return whether the latest reports show that an order may be needed."""
         known = [
             EngineState(engine.instance, engine.address, engine.report)
-            for engine in self._parts.directory.instances(self._upstream)
+            for engine in self._context.directory.instances(self._upstream)
             if engine.report is not None
         ]
         return self._choose(known) is not None
 
-    def _least_token(self) -> int:
-        """Return a token above any that the engines have seen."""
-        reports = [e.report for e in self._parts.directory.instances(self._upstream)]
+    def _min_token(self) -> int:
+        """Return a token above all those that the engines have reported."""
+        reports = [e.report for e in self._context.directory.instances(self._upstream)]
         return 1 + max((r.fencing_token for r in reports if r is not None), default=0)
 
     def _fencing(self) -> Fencing:
@@ -243,7 +245,7 @@
         return Fencing.IGNORED if entry is None else entry.fencing
 
     def _catalogue(self) -> Catalogue:
-        in_force = self._parts.catalogue.current()
+        in_force = self._context.catalogue.current()
         return in_force.catalogue if in_force is not None else Catalogue()
 
     def _log(self, order: Order, token: int, state: str) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/wanted.py
+++ b/packages/corianderlb-router/src/corianderlb_router/wanted.py
@@ -1,4 +1,4 @@
-"""Run something for a caller as long as the caller wants it and has time."""
+"""Run work for a caller until the caller disconnects or the deadline passes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
     run: Callable[[], Awaitable[None]],
     may_abandon: Callable[[], bool] = lambda: True,
 ) -> bool:
-    """Run until the caller leaves or the deadline passes; return whether it passed.
+    """Run until a disconnect or the deadline; return whether the deadline passed.
 
-    Work for a caller that left would take an upstream's time from those that wait.
-    ``may_abandon`` is asked when the caller leaves: False lets the run go on.
+    Work for a caller that has disconnected would use upstream capacity that waiting
+    callers need. ``may_abandon`` is called on a disconnect; False lets the work
+    continue.
     """
     failure: CorianderError | None = None
     with trio.move_on_at(deadline) as scope:
@@ -31,7 +32,7 @@
             try:
                 await run()
             except CorianderError as exc:
-                # Raised below, since a nursery would wrap it in a group.
+                # Raised after the nursery, which would wrap it in an exception group.
                 failure = exc
             nursery.cancel_scope.cancel()
     if failure is not None:
@@ -43,7 +44,7 @@
     caller: CallerExchange, scope: trio.CancelScope, may_abandon: Callable[[], bool]
 ) -> None:
     await caller.wait_gone()
-    # The server says "gone" after the last byte too, while it still closes the
-    # connection in our task: cancelled there, it would leave the socket open for ever.
+    # The server reports a disconnect after the last byte too, while it still closes the
+    # connection in our task. Cancelling it there would leak the socket.
     if not caller.finished and may_abandon():
         scope.cancel()
--- a/packages/corianderlb-router/src/corianderlb_router/weights_keeper.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_keeper.py
@@ -1,4 +1,4 @@
-"""Bring the engines to the newest weights, under one lease for all of them."""
+"""Update all engines to the newest weights version under a single fleet-wide lease."""
 
 from __future__ import annotations
 
@@ -21,89 +21,89 @@
 from .engine_orders import EngineOrders
 from .lease_duty import LeaseDuty
 from .serving_state import ServingState
-from .weights_board import LEAVE_PHASES, goes_on
-from .weights_load import OrderedEngine, WeightsLoader
+from .weights_board import DRAIN_PHASES, keeps_phase_start
+from .weights_load import EngineOrderState, WeightsLoader
 
 TICK_S: Final = 0.05
-"""Pause between two looks while engines load: short against a load."""
+"""Interval between planning ticks while engines load."""
 
 IDLE_TICK_S: Final = 0.25
-"""Longest pause between two looks otherwise; a newly named version ends it."""
+"""Longest interval between planning ticks; a newly named version starts one at once."""
 
-TELL_AGAIN_S: Final = 0.7
-"""Pause between two words that an engine takes no new work: a third of the time for
-which such a word counts."""
+REANNOUNCE_S: Final = 0.7
+"""Interval between announcements of a phase; below ``EMPTYING_TTL_S``, so that one lost
+announcement does not end the phase."""
 
 
 @dataclass
 class _Engine:
-    """Hold what the holder of the lease wants of one life of an engine."""
+    """Target phase and orders of one engine incarnation, for the lease holder."""
 
-    ordered: OrderedEngine = field(default_factory=OrderedEngine)
+    sent_orders: EngineOrderState = field(default_factory=EngineOrderState)
     is_loading: bool = False
     ordered_at: float = -math.inf
     phase: EnginePhase = EnginePhase.SERVING
-    since: float = 0.0
-    """When that phase began; clearing goes on from emptying."""
-    told_at: float = -math.inf
-    """When the peers were last told."""
-
-    def begin(self, phase: EnginePhase, now: float) -> None:
-        """Take note of what it is wanted for from now on."""
-        if not goes_on(self.phase, phase):
-            self.since = now
+    phase_started_at: float = 0.0
+    """Start of the current phase; clearing continues the time of emptying."""
+    announced_at: float = -math.inf
+    """When the phase was last announced to the peers."""
+
+    def start_phase(self, phase: EnginePhase, now: float) -> None:
+        """Set a new target phase."""
+        if not keeps_phase_start(self.phase, phase):
+            self.phase_started_at = now
         self.phase = phase
-        self.told_at = -math.inf
+        self.announced_at = -math.inf
 
 
 class WeightsKeeper:
-    """Plan the loads and have them done while this router holds the lease."""
+    """Plan weight loads and order them while this router holds the lease."""
 
     def __init__(
         self,
-        duty: LeaseDuty,
+        coordinator: LeaseDuty,
         node: str,
         state: ServingState,
-        board: EngineBoard,
+        table: EngineBoard,
         orders: EngineOrders,
     ) -> None:
-        self._duty = duty
-        self._duty.is_busy = lambda: self._is_busy
+        self._coordinator = coordinator
+        self._coordinator.is_busy = lambda: self._is_busy
         self._state = state
-        self._board = board
-        self._loader = WeightsLoader(duty, node, state, board, orders)
+        self._table = table
+        self._loader = WeightsLoader(coordinator, node, state, table, orders)
         self._engines: dict[tuple[str, int], _Engine] = {}
         self._token = 0
-        """Fencing token under which they were looked at."""
+        """Fencing token under which ``_engines`` was recorded."""
 
     @property
     def is_holder(self) -> bool:
-        """Whether this router gives the orders now."""
-        return self._duty.may_act()
+        """Whether this router may send orders now."""
+        return self._coordinator.may_act()
 
     async def run(self) -> None:
-        """Look after the engines until cancelled."""
+        """Run the planning loop until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._duty.run)
+            nursery.start_soon(self._coordinator.run)
             while True:
                 changed = self._state.changed
-                if self._state.is_complete and self._duty.may_act():
+                if self._state.is_complete and self._coordinator.may_act():
                     self._roll(nursery)
                 with trio.move_on_after(IDLE_TICK_S):
                     await trio.sleep(TICK_S)
                     await changed.wait()
 
     async def release(self) -> None:
-        """Give no more orders, and the lease back."""
-        await self._duty.release()
+        """Stop sending orders and release the lease."""
+        await self._coordinator.release()
 
     @property
     def _is_busy(self) -> bool:
-        """Whether an engine has been ordered and has not loaded yet."""
+        """Whether an engine has been ordered to load and has not finished."""
         return any(engine.is_loading for engine in self._engines.values())
 
     def _models(self) -> list[tuple[str, str]]:
-        """Return the upstreams of engines, each with its models."""
+        """Return pairs of upstream and model for all engine upstreams."""
         cfg = self._state.configuration
         if cfg is None:
             return []
@@ -115,43 +115,45 @@
         ]
 
     def _roll(self, nursery: trio.Nursery) -> None:
-        """Do what the plan asks for now."""
-        self._forget_ended()
+        """Plan the roll of each model and start the loads that are due."""
+        self._drop_outdated()
         for upstream, model in self._models():
             newest = self._state.newest_weights(model)
             instances = self._state.instances(upstream)
-            known = [self._known(instance, model) for instance in instances]
-            n_needed = self._board.n_engines_needed(upstream)
+            known = [self._plan_input(instance, model) for instance in instances]
+            n_needed = self._table.n_engines_needed(upstream)
             plan = plan_roll(known, newest, n_needed)
             for instance in instances:
                 if instance.instance in plan.orders:
                     nursery.start_soon(self._load, instance, model, newest)
-                    self._of(instance).is_loading = True
+                    self._engine(instance).is_loading = True
                 else:
-                    self._follow_plan(instance, model, plan)
+                    self._apply_phase(instance, model, plan)
 
-    def _follow_plan(
+    def _apply_phase(
         self, instance: ForwardInstance, model: str, plan: RollPlan
     ) -> None:
-        """Tell the peers what an engine is wanted for, now and then again."""
-        engine = self._of(instance)
+        """Announce an engine's target phase when it changes, and repeat it."""
+        engine = self._engine(instance)
         if engine.is_loading:
             return
         now = trio.current_time()
         phase = plan.phase(instance.instance)
         if phase is not engine.phase:
-            engine.begin(phase, now)
+            engine.start_phase(phase, now)
             self._log_phase(instance, model, phase)
         elif phase is EnginePhase.SERVING:
             return
-        if now - engine.told_at >= TELL_AGAIN_S:
-            engine.told_at = now
-            self._board.weights.tell(instance, model, phase, self._duty.token)
+        if now - engine.announced_at >= REANNOUNCE_S:
+            engine.announced_at = now
+            self._table.weights.announce(
+                instance, model, phase, self._coordinator.token
+            )
 
     def _log_phase(
         self, instance: ForwardInstance, model: str, phase: EnginePhase
     ) -> None:
-        view = self._board.view(instance, model)
+        view = self._table.view(instance, model)
         now = trio.current_time()
         eliot.log_message(
             message_type="weights:phase",
@@ -160,15 +162,15 @@
             version=view.weights_version,
             newest=self._state.newest_weights(model),
             n_requests=view.pace.n_known_requests(now),
-            n_needed=self._board.n_engines_needed(instance.upstream),
+            n_needed=self._table.n_engines_needed(instance.upstream),
         )
 
-    def _known(self, instance: ForwardInstance, model: str) -> EngineWeights:
-        """Return what the plan has to know of an engine."""
+    def _plan_input(self, instance: ForwardInstance, model: str) -> EngineWeights:
+        """Return the state of an engine as input for the plan."""
         now = trio.current_time()
-        engine = self._of(instance)
-        view = self._board.view(instance, model)
-        phase_s = now - engine.since
+        engine = self._engine(instance)
+        view = self._table.view(instance, model)
+        phase_s = now - engine.phase_started_at
         return EngineWeights(
             instance=instance.instance,
             version=view.weights_version,
@@ -176,49 +178,51 @@
             loading_s=now - engine.ordered_at,
             ordered_s=now - engine.ordered_at,
             n_requests=view.pace.n_known_requests(now),
-            is_reachable=engine.ordered.unreachable_until <= now,
-            is_lost=self._is_lost(instance, engine.ordered),
-            is_silent=self._board.is_silent(instance),
-            emptying_s=phase_s if engine.phase in LEAVE_PHASES else None,
+            is_reachable=engine.sent_orders.unreachable_until <= now,
+            is_lost=self._is_lost(instance, engine.sent_orders),
+            is_silent=self._table.is_silent(instance),
+            emptying_s=phase_s if engine.phase in DRAIN_PHASES else None,
             resting_s=phase_s if engine.phase is EnginePhase.RESTING else None,
         )
 
-    def _is_lost(self, instance: ForwardInstance, ordered: OrderedEngine) -> bool:
-        """Return whether an engine did not answer, and nobody heard of it since."""
-        if ordered.lost_at is None:
+    def _is_lost(
+        self, instance: ForwardInstance, sent_orders: EngineOrderState
+    ) -> bool:
+        """Return whether an engine has sent nothing since an unanswered request."""
+        if sent_orders.unanswered_at is None:
             return False
-        return not self._board.heard_since(instance, ordered.lost_at)
+        return not self._table.heard_since(instance, sent_orders.unanswered_at)
 
     async def _load(self, instance: ForwardInstance, model: str, version: int) -> None:
-        """Have an engine load, whatever becomes of it."""
-        engine = self._of(instance)
+        """Order an engine to load a version and wait for the outcome."""
+        engine = self._engine(instance)
         engine.ordered_at = trio.current_time()
         try:
-            await self._loader.load(instance, model, version, engine.ordered)
+            await self._loader.load(instance, model, version, engine.sent_orders)
         finally:
             engine.is_loading = False
-            engine.begin(EnginePhase.SERVING, trio.current_time())
+            engine.start_phase(EnginePhase.SERVING, trio.current_time())
 
-    def _forget_ended(self) -> None:
-        """Drop what was known of lives that are listed no more.
+    def _drop_outdated(self) -> None:
+        """Drop the state of engine incarnations that are no longer listed.
 
-        What dates from an earlier holding of the lease is dropped as well: others have
-        given orders since.
+        State from an earlier holding of the lease is dropped too, since other routers
+        have sent orders in the meantime.
         """
-        is_anew = self._duty.token != self._token
-        self._token = self._duty.token
+        is_new_holding = self._coordinator.token != self._token
+        self._token = self._coordinator.token
         for life, engine in list(self._engines.items()):
             known = self._state.instance(life[0])
             is_gone = known is None or known.life != life
-            if not engine.is_loading and (is_gone or is_anew):
+            if not engine.is_loading and (is_gone or is_new_holding):
                 del self._engines[life]
 
-    def _of(self, instance: ForwardInstance) -> _Engine:
-        """Return what is known of an engine; an earlier holder may have begun it."""
+    def _engine(self, instance: ForwardInstance) -> _Engine:
+        """Return an engine's state, initially from an earlier holder's announcement."""
         engine = self._engines.get(instance.life)
         if engine is None:
             engine = self._engines[instance.life] = _Engine()
-            phase = self._board.weights.phase(instance)
+            phase = self._table.weights.phase(instance)
             if phase is not EnginePhase.LOADING:
-                engine.begin(phase, self._board.weights.phase_since(instance))
+                engine.start_phase(phase, self._table.weights.phase_since(instance))
         return engine
--- a/packages/corianderlb-router/src/corianderlb_router/weights_load.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_load.py
@@ -1,7 +1,8 @@
-"""Have one engine load weights: give the order, and follow it to its end.
+"""Order one engine to load weights and follow the load to its end.
 
-Answers get lost and orders may arrive late. Each order names how many the engine must
-have accepted before, so that one that arrives after a newer one does nothing.
+Responses get lost and orders may arrive late. Each order carries the number of orders
+that the engine must have accepted before, so that an order overtaken by a newer one has
+no effect.
 """
 
 from __future__ import annotations
@@ -20,97 +21,106 @@
 from .engine_orders import EngineOrders, EngineReport, OrderAnswer, WeightsOrder
 from .lease_duty import LeaseDuty
 from .serving_state import ServingState
-from .weights_board import LOADING_S
+from .weights_board import LOADING_TTL_S
 
 POLL_S: Final = 0.1
-"""Pause between two questions to an engine that loads."""
+"""Shortest interval between status requests to a loading engine."""
 
 MAX_POLLS_PER_S: Final = 40
-"""Questions to all loading engines together; each takes some milliseconds of the
-holder's processor, and with 22 engines at once nothing would be left for requests."""
+"""Limit on status requests to all loading engines together; keeps processor time free
+for forwarding requests."""
 
-LOST_REPORTS: Final = 3
-"""Reports in a row without an answer after which a loading engine counts as lost."""
+MAX_UNANSWERED_REPORTS: Final = 3
+"""Consecutive unanswered status requests after which a loading engine counts as lost.
+"""
 
-UNREACHABLE_S: Final = 1.5
-"""How long an engine that does not answer gets no order: it lapses in three to four
-seconds, and each try takes the place of another engine's load for half a second."""
+ORDER_BACKOFF_S: Final = 1.5
+"""Backoff before an engine that does not respond gets another order; each try blocks a
+load slot."""
 
-UNKNOWN_S: Final = 0.6
-"""How long an engine may take to show an order that got no answer. Reports lag by some
-hundred milliseconds; an order that arrives later still finds its count outdated."""
+UNKNOWN_ORDER_TIMEOUT_S: Final = 0.6
+"""Time for an engine to show an order whose response was lost; a later arrival is
+rejected by its order count."""
 
-GIVE_UP_S: Final = 10.0
-"""How long an engine is asked after one order; then it may get another."""
+FOLLOW_TIMEOUT_S: Final = 10.0
+"""Time limit for one order and its load; afterwards the engine may be ordered again."""
 
 
 @dataclass
-class OrderedEngine:
-    """Hold what the holder of the lease knows of its orders to an engine's life."""
+class EngineOrderState:
+    """What the lease holder knows about its orders to an engine incarnation."""
 
     n_orders: int | None = None
-    """Orders that it accepted in this life; None when nobody knows."""
+    """Orders accepted by this incarnation; None if unknown."""
     unreachable_until: float = -math.inf
-    lost_at: float | None = None
-    """When it last gave no answer; None since it did."""
+    unanswered_at: float | None = None
+    """When the last request went unanswered; None after a response."""
 
-    def note_lost(self, now: float) -> None:
-        """Take note that it gives no answer."""
-        self.lost_at = now
-        self.unreachable_until = now + UNREACHABLE_S
+    def record_unreachable(self, now: float) -> None:
+        """Record that the engine did not respond."""
+        self.unanswered_at = now
+        self.unreachable_until = now + ORDER_BACKOFF_S
 
 
 class WeightsLoader:
-    """Have engines load weights while this router may give orders."""
+    """Order engines to load weights while this router holds the lease."""
 
     def __init__(
         self,
-        duty: LeaseDuty,
+        coordinator: LeaseDuty,
         node: str,
         state: ServingState,
-        board: EngineBoard,
+        table: EngineBoard,
         orders: EngineOrders,
     ) -> None:
-        self._duty = duty
+        self._coordinator = coordinator
         self._node = node
         self._state = state
-        self._board = board
+        self._table = table
         self._orders = orders
         self._n_loading = 0
 
     async def load(
-        self, engine: ForwardInstance, model: str, version: int, known: OrderedEngine
+        self,
+        engine: ForwardInstance,
+        model: str,
+        version: int,
+        order_state: EngineOrderState,
     ) -> None:
-        """Give an engine the order, and return when it has loaded or is given up."""
+        """Order a load and wait until it completes or times out."""
         self._n_loading += 1
         try:
-            with trio.move_on_after(GIVE_UP_S):
-                await self._order_and_follow(engine, model, version, known)
+            with trio.move_on_after(FOLLOW_TIMEOUT_S):
+                await self._send_and_follow(engine, model, version, order_state)
         finally:
             self._n_loading -= 1
-            self._board.weights.tell(
-                engine, model, EnginePhase.SERVING, self._duty.token
+            self._table.weights.announce(
+                engine, model, EnginePhase.SERVING, self._coordinator.token
             )
 
-    async def _order_and_follow(
-        self, engine: ForwardInstance, model: str, version: int, known: OrderedEngine
+    async def _send_and_follow(
+        self,
+        engine: ForwardInstance,
+        model: str,
+        version: int,
+        order_state: EngineOrderState,
     ) -> None:
-        if known.n_orders is None:
+        if order_state.n_orders is None:
             report = await self._orders.report(engine)
             if report is None:
-                known.note_lost(trio.current_time())
+                order_state.record_unreachable(trio.current_time())
                 return
-            known.lost_at = None
-            known.n_orders = report.n_orders
-            self._learn(engine, report)
+            order_state.unanswered_at = None
+            order_state.n_orders = report.n_orders
+            self._record_versions(engine, report)
             if report.versions.get(model, 0) >= version:
                 return
-        if not self._duty.may_act():
+        if not self._coordinator.may_act():
             return
-        token = self._duty.token
-        self._board.weights.tell(engine, model, EnginePhase.LOADING, token)
-        order = WeightsOrder(model, version, self._node, token, known.n_orders)
-        self._duty.acted()
+        token = self._coordinator.token
+        self._table.weights.announce(engine, model, EnginePhase.LOADING, token)
+        order = WeightsOrder(model, version, self._node, token, order_state.n_orders)
+        self._coordinator.record_order()
         answer = await self._orders.order(engine, order)
         eliot.log_message(
             message_type="weights:order",
@@ -120,80 +130,82 @@
             token=token,
             answer=answer.value,
         )
-        await self._after_answer(engine, order, known, answer)
+        await self._handle_answer(engine, order, order_state, answer)
 
-    async def _after_answer(
+    async def _handle_answer(
         self,
         engine: ForwardInstance,
         order: WeightsOrder,
-        known: OrderedEngine,
+        order_state: EngineOrderState,
         answer: OrderAnswer,
     ) -> None:
         model, version = order.model, order.version
         if answer is OrderAnswer.HOLDS:
-            self._board.weights.learn(engine, model, version)
+            self._table.weights.learn(engine, model, version)
         elif answer is OrderAnswer.TAKEN:
-            if known.n_orders is not None:
-                known.n_orders += 1
+            if order_state.n_orders is not None:
+                order_state.n_orders += 1
             if not await self._follow(engine, model, version):
-                known.n_orders = None
-                known.note_lost(trio.current_time())
+                order_state.n_orders = None
+                order_state.record_unreachable(trio.current_time())
         elif answer is OrderAnswer.UNKNOWN:
-            known.n_orders = None
-            await self._follow_unknown(engine, model, version)
+            order_state.n_orders = None
+            await self._resolve_unknown(engine, model, version)
         elif answer is OrderAnswer.BUSY:
-            known.n_orders = None
+            order_state.n_orders = None
             await trio.sleep(POLL_S)
         elif answer is OrderAnswer.OUTDATED:
-            self._duty.lose()
+            self._coordinator.lose()
         elif answer is OrderAnswer.GONE:
             self._state.mark_leaving(engine, "address_reused")
 
     async def _follow(self, engine: ForwardInstance, model: str, version: int) -> bool:
-        """Ask an engine until it has the version; False when it answers no more.
+        """Poll an engine until it has the version; False if it stops responding.
 
-        One that crashed while it loaded would else keep its place among the loads
-        until its entry lapses, and the others would keep their old weights as long.
+        An engine that crashes during a load must free its load slot before its entry
+        expires, or the other engines would keep their old weights until then.
         """
         n_unanswered = 0
-        told_at = trio.current_time()
-        while n_unanswered < LOST_REPORTS and self._state.may_take_work(engine):
-            await trio.sleep(self._poll_s())
+        announced_at = trio.current_time()
+        while n_unanswered < MAX_UNANSWERED_REPORTS and self._state.may_take_work(
+            engine
+        ):
+            await trio.sleep(self._poll_interval_s())
             now = trio.current_time()
-            if now - told_at >= LOADING_S / 2 and self._duty.may_act():
-                # An engine that ends its runs first may take longer than the word of
-                # its load counts.
-                told_at = now
-                token = self._duty.token
-                self._board.weights.tell(engine, model, EnginePhase.LOADING, token)
+            if now - announced_at >= LOADING_TTL_S / 2 and self._coordinator.may_act():
+                # Announce again: an engine that completes its runs first may load for
+                # longer than the announcement is valid.
+                announced_at = now
+                token = self._coordinator.token
+                self._table.weights.announce(engine, model, EnginePhase.LOADING, token)
             report = await self._orders.report(engine)
             if report is None:
                 n_unanswered += 1
                 continue
             n_unanswered = 0
             if report.versions.get(model, 0) >= version and not report.is_busy:
-                self._learn(engine, report)
+                self._record_versions(engine, report)
                 return True
         return False
 
-    def _poll_s(self) -> float:
+    def _poll_interval_s(self) -> float:
         return max(POLL_S, self._n_loading / MAX_POLLS_PER_S)
 
-    async def _follow_unknown(
+    async def _resolve_unknown(
         self, engine: ForwardInstance, model: str, version: int
     ) -> None:
-        """Find out whether an order without an answer is being carried out."""
-        until = trio.current_time() + UNKNOWN_S
+        """Determine whether an order without a response is being carried out."""
+        until = trio.current_time() + UNKNOWN_ORDER_TIMEOUT_S
         while trio.current_time() < until:
             await trio.sleep(POLL_S)
             report = await self._orders.report(engine)
             if report is not None and report.versions.get(model, 0) >= version:
-                self._learn(engine, report)
+                self._record_versions(engine, report)
                 return
             if report is not None and report.is_busy:
                 await self._follow(engine, model, version)
                 return
 
-    def _learn(self, engine: ForwardInstance, report: EngineReport) -> None:
+    def _record_versions(self, engine: ForwardInstance, report: EngineReport) -> None:
         for model, version in report.versions.items():
-            self._board.weights.learn(engine, model, version)
+            self._table.weights.learn(engine, model, version)
--- a/packages/corianderlb-router/tests/test_lease_duty.py
+++ b/packages/corianderlb-router/tests/test_lease_duty.py
@@ -1,4 +1,4 @@
-"""Who gives orders when the holder is cut off from the store, dies or leaves."""
+"""Lease handover when the holder loses the store, dies or shuts down."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 TERMS = OrderSettings(lease_s=3.5, margin_s=0.5, send_s=0.5, flight_s=3.5)
 
-TURN_S = 3.0
+MIN_PAUSE_S = 3.0
 """Least time between the last order of one router and the first of another."""
 
 
 class CutStore(FakeStore):
-    """Be one router's way to the store, which can be cut."""
+    """One router's connection to the shared store, which can be cut."""
 
     def __init__(self, shared: FakeStore) -> None:
         super().__init__()
@@ -33,18 +33,18 @@
         self.n_calls = 0
 
     async def get(self, key: str) -> StoredObject | None:
-        await self._pass()
+        await self._call()
         return await self.shared.get(key)
 
     async def create(self, key: str, value: bytes) -> str:
-        await self._pass()
+        await self._call()
         return await self.shared.create(key, value)
 
     async def update(self, key: str, value: bytes, version: str) -> str:
-        await self._pass()
+        await self._call()
         return await self.shared.update(key, value, version)
 
-    async def _pass(self) -> None:
+    async def _call(self) -> None:
         self.n_calls += 1
         if self.is_cut:
             await trio.sleep(0.5)
@@ -53,7 +53,7 @@
 
 
 class Router:
-    """Hold one router's duty, and order as often as it may."""
+    """Router that sends orders whenever its lease allows."""
 
     def __init__(self, name: str, hub: FakeHub, shared: FakeStore) -> None:
         self.name = name
@@ -62,7 +62,7 @@
         self.orders: list[float] = []
         self.gives_orders = True
         self.lease = LeaseHolder(self.store, "weights", InstanceId(name), 0, TERMS)
-        self.duty = LeaseDuty(
+        self.coordinator = LeaseDuty(
             self.lease,
             name,
             hub.join(name),
@@ -73,18 +73,18 @@
         )
 
     async def run(self) -> None:
-        """Look after the lease, and give an order each tenth of a second."""
+        """Coordinate the lease and send an order every 0.1 s."""
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.duty.run)
+                nursery.start_soon(self.coordinator.run)
                 while True:
-                    if self.gives_orders and self.duty.may_act():
-                        self.duty.acted()
+                    if self.gives_orders and self.coordinator.may_act():
+                        self.coordinator.record_order()
                         self.orders.append(trio.current_time())
                     await trio.sleep(0.1)
 
 
-class LeaseDutyTest(TrioTestCase):
+class LeaseCoordinatorTest(TrioTestCase):
     def start(self, nursery: trio.Nursery, n_routers: int = 4) -> list[Router]:
         """Start routers over one store."""
         self.hub = FakeHub(nursery)
@@ -95,25 +95,24 @@
         return self.routers
 
     def holder(self) -> Router:
-        """Return the router that may order now."""
-        (found,) = (router for router in self.routers if router.duty.may_act())
+        """Return the router that may send orders now."""
+        (found,) = (router for router in self.routers if router.coordinator.may_act())
         return found
 
-    async def successor_of(self, first: Router) -> Router:
-        """Wait for another router that may order, and check the pause between both."""
+    async def wait_for_successor(self, first: Router) -> Router:
+        """Wait until another router sends orders, and check the pause between both."""
         while True:
             await trio.sleep(0.05)
             others = [r for r in self.routers if r is not first and r.orders]
             if others:
                 break
         (second,) = others
-        self.assertGreaterEqual(second.orders[0] - first.orders[-1], TURN_S)
+        self.assertGreaterEqual(second.orders[0] - first.orders[-1], MIN_PAUSE_S)
         return second
 
     async def test_holder_cut_off_from_the_store_hands_over(self) -> None:
-        # The holder loses the store and nothing else. Waiting for its lease to lapse
-        # and for its last orders, engines would answer from replaced weights for nine
-        # seconds. It stops, and a router that the store answers goes on.
+        # A holder that loses only the store must hand over. Waiting for its lease to
+        # expire would leave replaced weights in use for too long.
         for seed in range(5):
             async with trio.open_nursery() as nursery:
                 self.start(nursery)
@@ -121,14 +120,13 @@
                 first = self.holder()
                 cut_at = trio.current_time()
                 first.store.is_cut = True
-                second = await self.successor_of(first)
+                second = await self.wait_for_successor(first)
                 self.assertLess(second.orders[0] - cut_at, 6.0)
                 nursery.cancel_scope.cancel()
 
-    async def test_holder_that_dies_is_followed_when_its_lease_lapses(self) -> None:
-        # The holder's machine loses power. Nobody can hand anything over; the others
-        # know from its renewals when the lease lapses and when its last order must
-        # have arrived, and lose no further time on looks.
+    async def test_dead_holder_is_succeeded_when_its_lease_expires(self) -> None:
+        # Without a handover, the successor knows from the renewals when the lease
+        # expires, and must not lose further time on polling.
         for seed in range(5):
             async with trio.open_nursery() as nursery:
                 self.start(nursery)
@@ -137,13 +135,13 @@
                 died_at = trio.current_time()
                 first.scope.cancel()
                 self.hub.dead.add(first.name)
-                second = await self.successor_of(first)
+                second = await self.wait_for_successor(first)
                 self.assertLess(second.orders[0] - died_at, 7.0)
                 nursery.cancel_scope.cancel()
 
-    async def test_store_that_nobody_reaches_costs_nobody_the_lease(self) -> None:
-        # The store is away for two seconds. A holder that gave its lease up for that
-        # would leave the engines without orders for longer than the store was away.
+    async def test_store_outage_for_all_routers_keeps_the_holder(self) -> None:
+        # A holder that gave up its lease during a short store outage would leave the
+        # engines without orders for longer than the outage.
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery)
             await trio.sleep(6)
@@ -158,41 +156,40 @@
             self.assertIs(self.holder(), first)
             nursery.cancel_scope.cancel()
 
-    async def test_renewal_answered_after_a_handover_revives_nothing(self) -> None:
-        # The holder hands over while its own renewal is still on its way, and the
-        # store answers after all. Two routers would give orders at once.
+    async def test_renewal_answered_after_a_handover_is_ignored(self) -> None:
+        # The response to a renewal arrives after the handover. Reviving the lease would
+        # let two routers send orders at once.
         async with trio.open_nursery() as nursery:
             self.start(nursery)
             await trio.sleep(6)
             first = self.holder()
             first.store.is_cut = True
-            while first.duty.may_act():
+            while first.coordinator.may_act():
                 await trio.sleep(0.02)
             first.store.is_cut = False
-            second = await self.successor_of(first)
+            second = await self.wait_for_successor(first)
             await trio.sleep(5)
             self.assertIs(self.holder(), second)
             nursery.cancel_scope.cancel()
 
-    async def test_leaving_holder_names_its_heir(self) -> None:
-        # Routers restart one after the other. If each successor waited out a lease,
-        # nobody would give orders for most of that time.
+    async def test_holder_names_a_successor_on_shutdown(self) -> None:
+        # In a rolling restart, successors that wait for the lease to expire would leave
+        # the engines without orders most of the time.
         async with trio.open_nursery() as nursery:
             self.start(nursery)
             await trio.sleep(6)
             first = self.holder()
             left_at = trio.current_time()
-            await first.duty.release()
+            await first.coordinator.release()
             self.hub.dead.add(first.name)
-            second = await self.successor_of(first)
+            second = await self.wait_for_successor(first)
             self.assertLess(second.orders[0] - left_at, 4.0)
             nursery.cancel_scope.cancel()
 
-    async def test_router_that_leaves_before_it_has_acted(self) -> None:
-        # The holder is cut off from the store and all routers, and orders on as long as
-        # it may. Its successor still waits for these orders as it is told to end, or
-        # loses the store. Whoever follows has to wait for them as well, or two routers'
-        # orders meet at an engine.
+    async def test_settling_router_that_shuts_down_or_loses_the_store(self) -> None:
+        # The holder is cut off from the store and all routers but still sends orders.
+        # Its successor shuts down or loses the store while settling; the next one must
+        # wait for these orders too, or orders of two routers overlap at an engine.
         for seed in range(6):
             async with trio.open_nursery() as nursery:
                 self.start(nursery)
@@ -201,85 +198,86 @@
                 first.store.is_cut = True
                 self.hub.cut.add(first.name)
                 others = [r for r in self.routers if r is not first]
-                while not any(r.duty.is_settling for r in others):
+                while not any(r.coordinator.is_settling for r in others):
                     await trio.sleep(0.02)
-                (second,) = (r for r in others if r.duty.is_settling)
+                (second,) = (r for r in others if r.coordinator.is_settling)
                 if seed % 2:
-                    await second.duty.release()
+                    await second.coordinator.release()
                     self.hub.dead.add(second.name)
                 else:
                     second.store.is_cut = True
                 while not any(r.orders for r in others):
                     await trio.sleep(0.05)
                 acted_at = min(r.orders[0] for r in others if r.orders)
-                self.assertGreaterEqual(acted_at - first.orders[-1], TURN_S)
+                self.assertGreaterEqual(acted_at - first.orders[-1], MIN_PAUSE_S)
                 nursery.cancel_scope.cancel()
 
     def restart(self, nursery: trio.Nursery, router: Router) -> Router:
-        """Start a new life of a router on the same machine, which knows nothing."""
+        """Restart a router on the same machine without its earlier state."""
         router.scope.cancel()
-        reborn = Router(router.name, self.hub, router.store.shared)
-        self.routers[self.routers.index(router)] = reborn
-        nursery.start_soon(reborn.run)
-        return reborn
+        restarted = Router(router.name, self.hub, router.store.shared)
+        self.routers[self.routers.index(router)] = restarted
+        nursery.start_soon(restarted.run)
+        return restarted
 
     async def settling_after_lost_holder(
         self, nursery: trio.Nursery
     ) -> tuple[Router, Router]:
-        """Return a holder that was lost and the router that waits for its orders."""
+        """Return a lost holder and the router that waits for its orders."""
         self.start(nursery)
         await trio.sleep(6)
         first = self.holder()
         first.store.is_cut = True
         self.hub.cut.add(first.name)
         others = [r for r in self.routers if r is not first]
-        while not any(r.duty.is_settling for r in others):
+        while not any(r.coordinator.is_settling for r in others):
             await trio.sleep(0.02)
-        (second,) = (r for r in others if r.duty.is_settling)
+        (second,) = (r for r in others if r.coordinator.is_settling)
         return first, second
 
     async def test_restarted_holder_hands_over_the_time_of_its_earlier_orders(
         self,
     ) -> None:
-        """Guard against a restart that makes the last order look long ago."""
+        """Guard against a restart that resets the time of the last order."""
         async with trio.open_nursery() as nursery:
             self.start(nursery)
             await trio.sleep(6)
             first = self.holder()
-            reborn = self.restart(nursery, first)
-            reborn.gives_orders = False
-            while not reborn.duty.token:
+            restarted = self.restart(nursery, first)
+            restarted.gives_orders = False
+            while not restarted.coordinator.token:
                 await trio.sleep(0.02)
-            await reborn.duty.release()
-            self.hub.dead.add(reborn.name)
-            await self.successor_of(first)
+            await restarted.coordinator.release()
+            self.hub.dead.add(restarted.name)
+            await self.wait_for_successor(first)
             nursery.cancel_scope.cancel()
 
-    async def test_restart_of_a_holder_that_still_waits_for_earlier_orders(
+    async def test_restart_of_a_settling_holder(
         self,
     ) -> None:
         """Guard against a restart that ends the wait for another holder's orders."""
         async with trio.open_nursery() as nursery:
             first, second = await self.settling_after_lost_holder(nursery)
-            reborn = self.restart(nursery, second)
-            while not reborn.orders:
+            restarted = self.restart(nursery, second)
+            while not restarted.orders:
                 await trio.sleep(0.02)
             self.assertFalse(second.orders)
-            self.assertGreaterEqual(reborn.orders[0] - first.orders[-1], TURN_S)
+            self.assertGreaterEqual(restarted.orders[0] - first.orders[-1], MIN_PAUSE_S)
             nursery.cancel_scope.cancel()
 
-    async def test_lease_that_lapses_while_earlier_orders_are_waited_for(self) -> None:
-        """Guard against a lease taken again that ends the wait for earlier orders."""
+    async def test_lease_lost_while_settling(self) -> None:
+        """Guard against reacquiring a lease ending the wait for earlier orders."""
         async with trio.open_nursery() as nursery:
             first, second = await self.settling_after_lost_holder(nursery)
-            second.duty.lose()
+            second.coordinator.lose()
             while not second.orders:
                 await trio.sleep(0.02)
-            self.assertGreaterEqual(second.orders[0] - first.orders[-1], TURN_S)
+            self.assertGreaterEqual(second.orders[0] - first.orders[-1], MIN_PAUSE_S)
             nursery.cancel_scope.cancel()
 
-    async def test_standbys_that_hear_renewals_leave_the_store_alone(self) -> None:
-        # Each look is a call to the store, which is paid by the call.
+    async def test_standbys_do_not_poll_while_renewals_arrive(self) -> None:
+        # Store calls are billed, so standby routers must not poll while renewals
+        # arrive.
         async with trio.open_nursery() as nursery:
             self.start(nursery)
             await trio.sleep(10)
--- a/packages/corianderlb-router/tests/test_orders.py
+++ b/packages/corianderlb-router/tests/test_orders.py
@@ -40,7 +40,7 @@
 
 @dataclass
 class FakeEngine:
-    """Be an engine that takes orders, and checks their tokens only when told to."""
+    """Engine that accepts orders and optionally checks their fencing tokens."""
 
     checks: bool
     weights: dict[str, str]
@@ -60,14 +60,14 @@
 
 @dataclass
 class FakeEngines(EngineControl):
-    """Carry orders to engines in memory; a router's pause falls before the bytes."""
+    """In-memory engine control; a router's pause happens before the bytes are sent."""
 
     nursery: trio.Nursery
     engines: dict[str, FakeEngine]
     pause_s: dict[int, float] = field(default_factory=dict)
-    """Pause of the router before the bytes of the order with a token leave."""
+    """By token: pause of the router before the bytes of an order are sent."""
     flight_s: dict[int, float] = field(default_factory=dict)
-    """How long the bytes of orders with a token are under way."""
+    """By token: time that the bytes of an order are in transit."""
     most_loading: int = 0
 
     async def read(self, engine: UpstreamInstance) -> EngineState | None:
@@ -75,7 +75,7 @@
         report = self.engines[engine.instance].report()
         return EngineState(engine.instance, "", report)
 
-    async def give(
+    async def send_order(
         self, order: Order, address: str, token: int, send_before: float, send_s: float
     ) -> OrderReply:
         await trio.sleep(self.pause_s.pop(token, 0.0))
@@ -138,15 +138,17 @@
         async with trio.open_nursery() as nursery:
             self.hub = FakeHub(nursery)
             self.control = FakeEngines(nursery, self.engines)
-            self.keepers = {name: self._keeper(name) for name in ("r1", "r2")}
+            self.controllers = {
+                name: self._make_controller(name) for name in ("r1", "r2")
+            }
             nursery.start_soon(self._report)
-            self.scopes = {name: trio.CancelScope() for name in self.keepers}
-            for name in self.keepers:
-                nursery.start_soon(self._run_keeper, name)
+            self.scopes = {name: trio.CancelScope() for name in self.controllers}
+            for name in self.controllers:
+                nursery.start_soon(self._run_controller, name)
             yield
             nursery.cancel_scope.cancel()
 
-    def _keeper(self, name: str) -> OrderKeeper:
+    def _make_controller(self, name: str) -> OrderKeeper:
         return OrderKeeper(
             self.store,
             InstanceId(name),
@@ -158,9 +160,9 @@
             random.Random(4),
         )
 
-    async def _run_keeper(self, name: str) -> None:
+    async def _run_controller(self, name: str) -> None:
         with self.scopes[name]:
-            await self.keepers[name].run()
+            await self.controllers[name].run()
 
     async def _report(self) -> None:
         while True:
@@ -175,8 +177,12 @@
         change = a_change(catalogue.version + 1, *models)
         self.catalogue.catalogue = apply_change(catalogue, change)
 
-    def home(self) -> str:
-        return next(n for n, keeper in self.keepers.items() if keeper.is_home(UPSTREAM))
+    def primary(self) -> str:
+        return next(
+            n
+            for n, controller in self.controllers.items()
+            if controller.is_primary(UPSTREAM)
+        )
 
     def lease(self, upstream: str = UPSTREAM) -> LeaseRecord:
         stored = self.store.objects[f"leases/orders/{upstream}"]
@@ -207,12 +213,8 @@
             self.assertEqual(self.lease().holder, "")
             self.assertEqual([o.state for o in self.lease().done], ["done"] * 3)
 
-    async def test_two_loads_at_once_over_the_fleet(self) -> None:
-        """Three models get new weights in one change.
-
-        With three loads at once each would take longer, and so would the time in which
-        no engine has the new weights.
-        """
+    async def test_at_most_two_concurrent_loads(self) -> None:
+        """Guard against more than two concurrent loads, which slow each other down."""
         upstreams = ("ember-llm", "spec-reader", "grade-llm")
         async with self.running(upstreams):
             self.change_weights("w2", *upstreams)
@@ -220,10 +222,10 @@
             self.assertEqual(self.control.most_loading, 2)
 
     async def test_holder_is_paused_before_it_sends(self) -> None:
-        """The holder is paused between writing the order down and sending it.
+        """Guard against an order sent after a pause restoring old weights.
 
-        Another router takes over and loads newer weights. An order that left after the
-        pause would bring the old weights back, on an engine that checks no token.
+        The holder is paused between storing the intent and sending the order, while
+        another router takes over and loads newer weights.
         """
         for pause_s in (7.0, 9.5, 12.0, 18.0, 25.0):
             with self.subTest(pause_s=pause_s):
@@ -231,7 +233,7 @@
                     self.control.pause_s = {1: pause_s}
                     self.control.flight_s = {1: 1.9}
                     self.change_weights("w2", UPSTREAM)
-                    first = self.home()
+                    first = self.primary()
                     await trio.sleep(3)
                     self.hub.dead.add(first)
                     self.change_weights("w3", UPSTREAM)
@@ -242,15 +244,12 @@
                     if pause_s > 11:
                         self.assertGreaterEqual(self.lease().token, 2)
 
-    async def test_holder_dies_with_an_order_under_way(self) -> None:
-        """The holder dies right after its order left, and the order arrives late.
-
-        The next holder must not give its own before, or the late one would undo it.
-        """
+    async def test_holder_dies_with_an_order_in_flight(self) -> None:
+        """Guard against a dead holder's late order undoing the next holder's order."""
         async with self.running():
             self.control.flight_s = {1: 14.0}
             self.change_weights("w2", UPSTREAM)
-            first = self.home()
+            first = self.primary()
             await trio.sleep(2.0)
             self.hub.dead.add(first)
             self.scopes[first].cancel()
@@ -262,11 +261,7 @@
             self.assertEqual(self.lease().token, 2)
 
     async def test_holder_with_an_older_catalogue(self) -> None:
-        """A router that lags behind becomes the home of an upstream.
-
-        By its older catalogue the engines hold the wrong weights. Its orders would
-        bring back what a change has replaced.
-        """
+        """Guard against a primary with a stale catalogue restoring old weights."""
         async with self.running():
             older = self.catalogue.catalogue
             self.change_weights("w2", UPSTREAM)
@@ -278,10 +273,9 @@
             self.assertEqual([len(e.taken) for e in self.engines.values()], [1, 1, 1])
 
     async def test_store_loses_answers(self) -> None:
-        """Every other write of the holder takes effect and its answer is lost.
+        """Guard against giving up the lease when responses to writes are lost.
 
-        Given up for lost, the lease would lapse each time, and engines would stay on
-        old weights for minutes after an accepted change.
+        Engines would keep old weights for minutes after an accepted change.
         """
         async with self.running():
             self.change_weights("w2", UPSTREAM)
@@ -295,7 +289,7 @@
             self.assertEqual(self.lease().token, 1)
             self.assertEqual([len(e.taken) for e in self.engines.values()], [1, 1, 1])
 
-    async def test_load_under_way_is_waited_for(self) -> None:
+    async def test_load_in_progress_delays_orders(self) -> None:
         async with self.running():
             busy = next(iter(self.engines.values()))
             busy.n_loading = 1
@@ -306,10 +300,10 @@
             await self.until_loaded("w2", 15.0)
 
     async def test_store_is_down_while_orders_are_given(self) -> None:
-        """The store goes down in the middle of a change of weights.
+        """Guard against sending orders while the store is down.
 
-        The holder must stop in time, since it cannot know whether another took over,
-        and go on once the store is back.
+        The holder cannot know whether another router took over; it continues once the
+        store is back.
         """
         async with self.running():
             self.change_weights("w2", UPSTREAM)
--- a/packages/corianderlb-router/tests/test_weights_age.py
+++ b/packages/corianderlb-router/tests/test_weights_age.py
@@ -1,4 +1,4 @@
-"""How long weights are replaced, for routers that did not see it happen."""
+"""Age of replaced weights at routers that did not see the replacement."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 class WeightsAgeTest(StateCase):
     async def test_restarted_router_learns_when_weights_were_replaced(self) -> None:
-        """Guards against weights that seem freshly replaced to who has just started."""
+        """Guard against a restarted router taking weights for freshly replaced."""
         async with trio.open_nursery() as nursery:
             self.start(nursery, 2)
             self.name_weights(3)
@@ -34,7 +34,7 @@
             nursery.cancel_scope.cancel()
 
     async def test_whole_fleet_restarts_during_a_roll(self) -> None:
-        """Guards against old weights that seem young when no router knows better."""
+        """Guard against old weights counting as recent if no router knows their age."""
         async with trio.open_nursery() as nursery:
             self.start(nursery, 0)
             self.name_weights(4)
@@ -45,8 +45,8 @@
                 self.assertEqual(router.state.replaced_at(MODEL, 3), -math.inf)
             nursery.cancel_scope.cancel()
 
-    async def test_router_that_was_out_of_touch_as_weights_were_named(self) -> None:
-        """Guards against an age that counts from the end of a freeze or an outage."""
+    async def test_router_disconnected_while_weights_were_named(self) -> None:
+        """Guard against an age counted from the end of a freeze or an outage."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             self.name_weights(3)
@@ -68,8 +68,8 @@
             self.assertAlmostEqual(replaced_at, named_at, delta=0.1)
             nursery.cancel_scope.cancel()
 
-    async def test_naming_that_is_read_after_a_pause(self) -> None:
-        """Guards against an age that counts from the end of a short freeze."""
+    async def test_new_version_read_after_a_pause(self) -> None:
+        """Guard against an age counted from the end of a short freeze."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             self.name_weights(3)
@@ -82,8 +82,8 @@
             self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at)
             nursery.cancel_scope.cancel()
 
-    async def test_answer_that_waited_says_nothing_of_now(self) -> None:
-        """Guards against "nothing newer" that is taken for news when it is old."""
+    async def test_delayed_response_does_not_confirm_the_state(self) -> None:
+        """Guard against a stale "nothing newer" response counting as current."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             self.name_weights(3)
@@ -100,8 +100,8 @@
             self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at)
             nursery.cancel_scope.cancel()
 
-    async def test_age_that_was_under_way_for_long(self) -> None:
-        """Guards against a peer's word that makes weights younger by its delay."""
+    async def test_age_message_that_was_delayed(self) -> None:
+        """Guard against a peer's message reducing the age by its delay."""
         async with trio.open_nursery() as nursery:
             self.start(nursery, 2)
             self.name_weights(3)
@@ -117,8 +117,8 @@
             self.assertGreater(replaced_at, named_at - 5)
             nursery.cancel_scope.cancel()
 
-    async def test_weights_named_while_all_routers_stand_still(self) -> None:
-        """Guards against an age that counts from the end of a freeze of all routers."""
+    async def test_weights_named_while_all_routers_are_frozen(self) -> None:
+        """Guard against an age counted from the end of a freeze of all routers."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             self.name_weights(3)
@@ -132,8 +132,8 @@
                 self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at)
             nursery.cancel_scope.cancel()
 
-    async def test_weights_named_after_an_answer_that_a_freeze_held_up(self) -> None:
-        """Guards against the same where a watch without news ended in the freeze."""
+    async def test_weights_named_after_a_response_delayed_by_a_freeze(self) -> None:
+        """Guard against the same if a watch without changes ended during the freeze."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             self.name_weights(3)
@@ -152,8 +152,8 @@
             self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at[0])
             nursery.cancel_scope.cancel()
 
-    async def test_age_that_waited_for_a_frozen_router(self) -> None:
-        """Guards against a peer's word that counts from the end of a freeze."""
+    async def test_age_message_received_after_a_freeze(self) -> None:
+        """Guard against a peer's message counting from the end of a freeze."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             await trio.sleep(1)
@@ -173,8 +173,8 @@
             self.assertFalse(named_at + 0.1 < replaced_at < math.inf)
             nursery.cancel_scope.cancel()
 
-    async def test_stall_before_a_naming_that_is_seen(self) -> None:
-        """Guards against old weights that nobody may use after a stall of routers."""
+    async def test_stall_before_a_new_version_that_is_seen(self) -> None:
+        """Guard against old weights becoming unusable after a stall of routers."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             self.name_weights(3)
@@ -188,8 +188,8 @@
             self.assertAlmostEqual(replaced_at, named_at, delta=0.1)
             nursery.cancel_scope.cancel()
 
-    async def test_naming_that_was_held_back_from_a_router(self) -> None:
-        """Guards against an age that counts from a watch that was answered late."""
+    async def test_new_version_delivered_late(self) -> None:
+        """Guard against an age counted from a watch that was answered late."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             await trio.sleep(1)
@@ -203,8 +203,8 @@
             self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at)
             nursery.cancel_scope.cancel()
 
-    async def test_naming_that_a_peers_table_shows(self) -> None:
-        """Guards against an age that counts from when a peer's objects came."""
+    async def test_new_version_learned_from_a_peer(self) -> None:
+        """Guard against an age counted from the arrival of a peer's objects."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             await trio.sleep(1)
@@ -221,8 +221,8 @@
             self.assertLessEqual(router.state.replaced_at(MODEL, 3), named_at)
             nursery.cancel_scope.cancel()
 
-    async def test_router_of_a_large_fleet_that_is_linked_late(self) -> None:
-        """Guards against seconds without older weights after a restart."""
+    async def test_router_of_a_large_fleet_that_connects_late(self) -> None:
+        """Guard against seconds without older weights after a restart."""
         async with trio.open_nursery() as nursery:
             self.start(nursery, 14)
             await trio.sleep(1)
@@ -241,8 +241,8 @@
             self.assertAlmostEqual(replaced_at, named_at, delta=0.1)
             nursery.cancel_scope.cancel()
 
-    async def test_ages_that_all_know_cost_no_message(self) -> None:
-        """Guards against answers to offers whose sender lacks nothing."""
+    async def test_known_ages_cause_no_messages(self) -> None:
+        """Guard against answers to offers whose sender lacks nothing."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 3)
             await trio.sleep(5)
