--- a/packages/corianderlb-core/src/corianderlb_core/catalogue.py
+++ b/packages/corianderlb-core/src/corianderlb_core/catalogue.py
@@ -1,7 +1,8 @@
-"""The catalogue: what operators declare, each entry with an owner, a class and limits.
+"""The catalogue of models, adapters, accounts, routes and upstreams.
 
-A ``Catalogue`` is the fold of the accepted changes up to one version. It is immutable;
-``apply_change`` in ``change`` makes the next one.
+Operators declare each entry with an owner, a service class and limits. A ``Catalogue``
+is the fold of the accepted changes up to one version. It is immutable;
+``apply_change`` in ``change`` returns the next version.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 
 
 class ServiceClass(Enum):
-    """Order work by urgency; the value is the word used in headers and files."""
+    """Urgency of a request; the value is used in headers and files."""
 
     URGENT = "urgent"
-    """A person waits at the kiln or the bath."""
+    """A person is waiting for the answer."""
     STANDARD = "standard"
     DEFERRABLE = "deferrable"
-    """May wait, but not for ever."""
+    """Yields to the other classes, but is not starved."""
 
 
 class EntryKind(Enum):
-    """Name the kinds of catalogue entries."""
+    """Kind of a catalogue entry."""
 
     MODEL = "model"
     ADAPTER = "adapter"
@@ -36,7 +37,7 @@
 
 
 class UpstreamKind(Enum):
-    """Tell how the router talks to an upstream."""
+    """Protocol that the router uses with an upstream."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -44,7 +45,7 @@
 
 
 class Fencing(Enum):
-    """Say whether the upstream's instances check the fencing token of an order."""
+    """Whether the upstream's instances check the fencing token of an order."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bound what an entry may use, over all routers together; ``None`` is no bound."""
+    """Limits of an entry, summed over all routers; ``None`` means unlimited."""
 
     requests_per_s: float | None = None
     concurrent: int | None = None
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
-    """Hold what every kind of entry has; auditors rely on ``owner``."""
+    """Fields common to all kinds of entries; audits rely on ``owner``."""
 
     kind: ClassVar[EntryKind]
 
@@ -74,27 +75,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Model(Entry):
-    """Declare a model that callers name in requests."""
+    """A model that clients name in requests."""
 
     kind: ClassVar[EntryKind] = EntryKind.MODEL
 
     upstream: str
-    """The engine upstream whose instances serve it."""
+    """The engine upstream whose instances serve the model."""
     weights_version: str
-    """The weights every answer must come from."""
+    """The weights version that every answer must come from."""
     piece_chars: int = 4000
-    """Characters of prompt in one cached piece of the engine."""
+    """Characters of the prompt in one piece of the engine's cache."""
     prefill_s_per_piece: float = 0.1
-    """Engine seconds to compute one missing piece."""
+    """Time for an engine to prefill one piece that is not cached."""
     import_s_per_piece: float = 0.02
-    """Engine seconds to import one piece from the KV cache upstream."""
+    """Time for an engine to import one piece from the KV cache upstream."""
     kv_cache: str = ""
-    """The KV cache upstream to import from; empty for none."""
+    """The KV cache upstream to import pieces from; empty for none."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Adapter(Entry):
-    """Declare an adapter of a model; callers name it in place of the model."""
+    """An adapter of a model; clients name it in place of the model."""
 
     kind: ClassVar[EntryKind] = EntryKind.ADAPTER
 
@@ -104,37 +105,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Account(Entry):
-    """Declare a client account; only digests of its keys are kept."""
+    """A client account; only digests of its keys are stored."""
 
     kind: ClassVar[EntryKind] = EntryKind.ACCOUNT
 
     key_digests: tuple[str, ...] = ()
-    """Hex SHA-256 digests of the keys that are valid now."""
+    """Hex SHA-256 digests of the valid keys."""
     weight: float = 1.0
-    """Its share beside other accounts when there is not enough for all."""
+    """Relative share of capacity when accounts compete for it."""
     models: tuple[str, ...] = ()
-    """Models and adapters it may use; empty for all."""
+    """Models and adapters that the account may use; empty for all."""
     routes: tuple[str, ...] = ()
-    """Application routes it may use; empty for all."""
+    """Application routes that the account may use; empty for all."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Route(Entry):
-    """Declare an application route to a plain service."""
+    """An application route to a plain HTTP service."""
 
     kind: ClassVar[EntryKind] = EntryKind.ROUTE
 
     upstream: str
     methods: tuple[str, ...] = ("GET",)
     repeatable: bool = True
-    """False for a sign-off or a booking, which runs at most once."""
+    """False for requests that must run at most once, such as a booking."""
     timeout_s: float = 10.0
-    """Longest wait for the next byte of the answer."""
+    """Longest wait for the next byte of the response."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Upstream(Entry):
-    """Declare a back end; its instances come from the platform's list."""
+    """A group of instances, which are listed by the platform."""
 
     kind: ClassVar[EntryKind] = EntryKind.UPSTREAM
 
@@ -150,7 +151,7 @@
 
 @dataclass(frozen=True)
 class EntryKey:
-    """Address one entry; it prints as ``kind/name``."""
+    """Key of an entry, printed as ``kind/name``."""
 
     kind: EntryKind
     name: str
@@ -160,16 +161,16 @@
 
 
 def key_of(entry: Entry) -> EntryKey:
-    """Return the key under which a catalogue holds the entry."""
+    """Return the entry's key in a catalogue."""
     return EntryKey(entry.kind, entry.name)
 
 
 @dataclass(frozen=True)
 class Catalogue:
-    """Hold all entries in force at one version.
+    """All entries in force at one version.
 
-    ``changed_in`` maps each entry to the version of the change that put it there, so
-    that a decision can be traced to an owner and a time.
+    ``changed_in`` maps each entry to the version that last changed it, so that a
+    decision can be traced to the change's owner and time.
     """
 
     version: int = 0
@@ -202,6 +203,6 @@
         return entry if isinstance(entry, Upstream) else None
 
     def of_kind(self, kind: EntryKind) -> tuple[Entry, ...]:
-        """Return the entries of one kind, by name."""
+        """Return the entries of one kind, sorted by name."""
         found = [entry for key, entry in self.entries.items() if key.kind is kind]
         return tuple(sorted(found, key=lambda entry: entry.name))
--- a/packages/corianderlb-core/src/corianderlb_core/catalogue_chain.py
+++ b/packages/corianderlb-core/src/corianderlb_core/catalogue_chain.py
@@ -1,9 +1,9 @@
-"""Hold the catalogue's log as far as it is known here; it only ever grows.
+"""The part of the catalogue's change log that this router has received.
 
-Changes arrive from the store and from peers, late, twice or out of order. A version is
-taken only if it is the very next one, so no one can bring an older state back, and no
-change in between can be missed. The bytes are kept as they were stored, so that they
-can be passed on to a router that knows more about them than this one.
+Changes arrive from the store and from peers, late, repeated or out of order. Only the
+next version is applied, so no peer can restore an older state and no change is skipped.
+The stored bytes are kept unchanged: a router of a newer release, to which they are
+forwarded, may read fields that this release does not know.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 from .result import ResultCode
 from .snapshot import fold_stored
 
-MIN_KEPT: Final = 32
-"""Newest changes kept one by one, so that peers slightly behind get just these."""
+MIN_UNFOLDED_CHANGES: Final = 32
+"""Newest changes kept unfolded, so that peers slightly behind receive only these."""
 
-MAX_KEPT: Final = 64
-"""Changes from which the oldest are folded into the snapshot."""
+MAX_UNFOLDED_CHANGES: Final = 64
+"""Number of unfolded changes above which the oldest are folded into the snapshot."""
 
 MAX_OFFER_BYTES: Final = 900_000
-"""Bytes of changes in one offer to a peer; a frame holds 1 MiB."""
+"""Size limit of the changes in one offer to a peer; a frame holds 1 MiB."""
 
 
 class ChainError(CorianderError):
-    """Signal offered changes or a snapshot that cannot be taken."""
+    """Changes or a snapshot that are invalid or leave a gap."""
 
     code = ResultCode.PEER_MESSAGE_INVALID
 
 
 class CatalogueChain:
-    """Fold offered changes into the catalogue, one version after the other.
+    """Apply changes to the catalogue in order of their versions.
 
-    For example ``take([change_8, change_9])`` brings version 7 to 9 and returns 2; at
+    For example, ``take([change_8, change_9])`` moves version 7 to 9 and returns 2; at
     version 9 it returns 0.
     """
 
@@ -49,21 +49,21 @@
 
     @property
     def version(self) -> int:
-        """The version that is reached; 0 before the first change."""
+        """The version of the last applied change; 0 before the first."""
         return self._catalogue.version
 
     @property
     def catalogue(self) -> Catalogue:
-        """The catalogue at that version."""
+        """The catalogue at ``version``."""
         return self._catalogue
 
     def take(self, offered: Sequence[bytes]) -> int:
-        """Take the changes that follow, and return how many those were.
+        """Apply the changes newer than ``version`` and return their number.
 
-        Raise ``ChainError`` for bytes that are no change or leave a gap; what came
-        before them is taken.
+        Raise ``ChainError`` for bytes that are not a change or that leave a gap; the
+        changes before them stay applied.
         """
-        n_taken = 0
+        n_applied = 0
         for data in offered:
             try:
                 change = change_from_json(data)
@@ -72,16 +72,18 @@
             if change.version <= self.version:
                 continue
             if change.version != self.version + 1:
-                raise ChainError(f"{change.version} does not follow {self.version}")
+                raise ChainError(
+                    f"change {change.version} does not follow version {self.version}"
+                )
             self._catalogue = apply_change(self._catalogue, change)
             self._changes.append(data)
-            n_taken += 1
-        if len(self._changes) > MAX_KEPT:
+            n_applied += 1
+        if len(self._changes) > MAX_UNFOLDED_CHANGES:
             self._fold_oldest()
-        return n_taken
+        return n_applied
 
     def take_snapshot(self, data: bytes) -> bool:
-        """Start over from a snapshot if it is newer; return whether it was taken."""
+        """Replace the state by a snapshot if it is newer; return whether it was."""
         try:
             catalogue = catalogue_from_json(data)
         except DecodeError as exc:
@@ -94,16 +96,16 @@
         return True
 
     def offer(self, after_version: int) -> tuple[bytes | None, tuple[bytes, ...]]:
-        """Return what brings a peer on from a version: a snapshot or none, changes.
+        """Return an optional snapshot and the changes for a peer at a version.
 
-        No more than fits one message; a peer that is still behind asks again.
+        They fit in one message; a peer that is still behind queries again.
         """
-        first_kept = self.version - len(self._changes)
-        if after_version < first_kept and self._snapshot is not None:
+        folded_version = self.version - len(self._changes)
+        if after_version < folded_version and self._snapshot is not None:
             return self._snapshot, ()
         changes: list[bytes] = []
         n_bytes = 0
-        for data in self._changes[max(0, after_version - first_kept) :]:
+        for data in self._changes[max(0, after_version - folded_version) :]:
             n_bytes += len(data)
             if changes and n_bytes > MAX_OFFER_BYTES:
                 break
@@ -111,13 +113,13 @@
         return None, tuple(changes)
 
     def snapshot_at(self, version: int) -> bytes | None:
-        """Return the snapshot of a version whose changes are still kept one by one."""
-        first_kept = self.version - len(self._changes)
-        if not first_kept <= version <= self.version:
+        """Return the snapshot at a version, or None if its changes were folded."""
+        folded_version = self.version - len(self._changes)
+        if not folded_version <= version <= self.version:
             return None
-        return fold_stored(self._snapshot, self._changes[: version - first_kept])
+        return fold_stored(self._snapshot, self._changes[: version - folded_version])
 
     def _fold_oldest(self) -> None:
-        n_folded = len(self._changes) - MIN_KEPT
+        n_folded = len(self._changes) - MIN_UNFOLDED_CHANGES
         self._snapshot = fold_stored(self._snapshot, self._changes[:n_folded])
         self._changes = self._changes[n_folded:]
--- a/packages/corianderlb-core/src/corianderlb_core/catalogue_check.py
+++ b/packages/corianderlb-core/src/corianderlb_core/catalogue_check.py
@@ -1,8 +1,9 @@
-"""Check a whole catalogue before it is accepted.
+"""Validate a whole catalogue before an edit is accepted.
 
-An entry that refers to nothing or has a limit of zero would turn callers away once it
-is in force, on all routers at once. So the catalogue that an edit would make is checked
-as a whole, and every fault is told, each with the entry, the field and what is allowed.
+An entry with a dangling reference or a limit of zero would make all routers refuse
+requests as soon as it is in force. So the catalogue that results from an edit is
+validated as a whole, and every fault is reported with its entry, field and allowed
+values.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 E = TypeVar("E", bound=Entry)
 
 NAME_PATTERN: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-"""What an entry may be called; a route's name is a part of URLs."""
+"""Allowed names of entries; a route's name is part of URLs."""
 
 DIGEST_PATTERN: Final = re.compile(r"[0-9a-f]{64}")
 """A SHA-256 digest in lower case hex."""
@@ -42,23 +43,23 @@
 """HTTP methods that a route may allow."""
 
 MAX_PIECE_CHARS: Final = 1_000_000
-"""Longest piece of prompt, in characters."""
+"""Upper limit of ``piece_chars``."""
 
 MAX_PIECE_S: Final = 60.0
-"""Longest time to compute or import one piece, in seconds."""
+"""Upper limit of the time to prefill or import one piece, in seconds."""
 
 MAX_TIMEOUT_S: Final = 3600.0
-"""Longest wait of a route for the next byte, in seconds."""
+"""Upper limit of a route's ``timeout_s``."""
 
 MAX_WEIGHT: Final = 1000.0
-"""Largest share of a client account beside the others."""
+"""Upper limit of a client account's ``weight``."""
 
 _POSITIVE: Final = "a number above 0"
 
 
 @dataclass(frozen=True)
 class CatalogueFault:
-    """Tell what is wrong with one field of one entry."""
+    """An invalid field of an entry."""
 
     key: EntryKey
     field: str
@@ -70,20 +71,20 @@
 
 
 class CatalogueInvalidError(CorianderError):
-    """Signal a catalogue that cannot be accepted, with all its faults."""
+    """An invalid catalogue, with all its faults."""
 
     code = ResultCode.CATALOGUE_INVALID
 
     def __init__(self, faults: tuple[CatalogueFault, ...]) -> None:
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
-        """Every fault that was found."""
+        """All faults of the catalogue."""
 
 
 def check_catalogue(catalogue: Catalogue) -> tuple[CatalogueFault, ...]:
-    """Return all faults of a catalogue, by entry; none when it may be accepted.
+    """Return all faults of a catalogue, sorted by entry; empty if it is valid.
 
-    For example a model that names an upstream which does not exist gives one fault,
+    For example, a model that names an upstream which does not exist gives one fault,
     ``model/m: upstream: 'x' does not exist; use one of ember-llm``.
     """
     faults: list[CatalogueFault] = []
@@ -91,12 +92,12 @@
         entry = catalogue.entries[key]
         faults.extend(_check_common(entry))
         faults.extend(_CHECKS[key.kind](entry, catalogue))
-    faults.extend(_check_digests_apart(catalogue))
+    faults.extend(_check_unique_digests(catalogue))
     return tuple(faults)
 
 
 def require_valid(catalogue: Catalogue) -> None:
-    """Raise ``CatalogueInvalidError`` with all faults unless there is none."""
+    """Raise ``CatalogueInvalidError`` with all faults if there are any."""
     faults = check_catalogue(catalogue)
     if faults:
         raise CatalogueInvalidError(faults)
@@ -107,12 +108,12 @@
 
 
 def _check_common(entry: Entry) -> Iterator[CatalogueFault]:
-    """Check what every kind of entry has."""
+    """Check the fields common to all kinds of entries."""
     if not NAME_PATTERN.fullmatch(entry.name):
         allowed = "letters, digits, '.', '_' and '-', at most 63"
         yield _fault(entry, "name", repr(entry.name), allowed)
     if not entry.owner.strip():
-        yield _fault(entry, "owner", "empty", "the team or person who answers for it")
+        yield _fault(entry, "owner", "empty", "the responsible team or person")
     limits = entry.limits
     for field in ("requests_per_s", "tokens_per_s"):
         value = getattr(limits, field)
@@ -120,12 +121,12 @@
             allowed = f"{_POSITIVE}, or null for no limit"
             yield _fault(entry, f"limits.{field}", str(value), allowed)
     if limits.concurrent is not None and limits.concurrent < 1:
-        allowed = "a whole number from 1 on, or null for no limit"
+        allowed = "an integer of at least 1, or null for no limit"
         yield _fault(entry, "limits.concurrent", str(limits.concurrent), allowed)
 
 
 def _check_model(entry: Entry, catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    model = _as(Model, entry)
+    model = _narrow(Model, entry)
     yield from _check_upstream_kind(
         model, "upstream", model.upstream, UpstreamKind.ENGINE, catalogue
     )
@@ -136,25 +137,27 @@
     if not model.weights_version.strip():
         yield _fault(model, "weights_version", "empty", "the version engines report")
     if not 1 <= model.piece_chars <= MAX_PIECE_CHARS:
-        allowed = f"a whole number from 1 to {MAX_PIECE_CHARS}"
+        allowed = f"an integer from 1 to {MAX_PIECE_CHARS}"
         yield _fault(model, "piece_chars", str(model.piece_chars), allowed)
     for field in ("prefill_s_per_piece", "import_s_per_piece"):
         yield from _check_range(model, field, MAX_PIECE_S)
 
 
 def _check_adapter(entry: Entry, catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    adapter = _as(Adapter, entry)
+    adapter = _narrow(Adapter, entry)
     if catalogue.model(adapter.model) is None:
-        yield _missing(adapter, "model", adapter.model, catalogue, EntryKind.MODEL)
+        yield _missing_reference(
+            adapter, "model", adapter.model, catalogue, EntryKind.MODEL
+        )
     if catalogue.model(adapter.name) is not None:
-        problem = f"{adapter.name!r} is a model too, so requests could mean either"
+        problem = f"{adapter.name!r} is also a model, so requests would be ambiguous"
         yield _fault(adapter, "name", problem, "a name that no model has")
     if not adapter.version.strip():
         yield _fault(adapter, "version", "empty", "the version engines report")
 
 
 def _check_account(entry: Entry, catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    account = _as(Account, entry)
+    account = _narrow(Account, entry)
     for digest in account.key_digests:
         if not DIGEST_PATTERN.fullmatch(digest):
             allowed = "the SHA-256 of the key as 64 lower case hex digits"
@@ -163,14 +166,16 @@
     for name in account.models:
         if catalogue.model(name) is None and catalogue.adapter(name) is None:
             kinds = (EntryKind.MODEL, EntryKind.ADAPTER)
-            yield _missing(account, "models", name, catalogue, *kinds)
+            yield _missing_reference(account, "models", name, catalogue, *kinds)
     for name in account.routes:
         if catalogue.route(name) is None:
-            yield _missing(account, "routes", name, catalogue, EntryKind.ROUTE)
+            yield _missing_reference(
+                account, "routes", name, catalogue, EntryKind.ROUTE
+            )
 
 
 def _check_route(entry: Entry, catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    route = _as(Route, entry)
+    route = _narrow(Route, entry)
     yield from _check_upstream_kind(
         route, "upstream", route.upstream, UpstreamKind.SERVICE, catalogue
     )
@@ -184,7 +189,7 @@
 
 
 def _check_upstream(entry: Entry, catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    """Find nothing: what an upstream has is checked with every entry."""
+    """Return no faults: an upstream has only common fields to check."""
     return iter(())
 
 
@@ -202,50 +207,59 @@
 
 
 def _check_upstream_kind(
-    entry: Entry, field: str, name: str, wanted: UpstreamKind, catalogue: Catalogue
+    entry: Entry,
+    field: str,
+    name: str,
+    required_kind: UpstreamKind,
+    catalogue: Catalogue,
 ) -> Iterator[CatalogueFault]:
-    """Check that a field names an upstream of the kind that it needs."""
-    fitting = [
+    """Check that a field names an upstream of the required kind."""
+    candidates = [
         item.name
         for item in catalogue.of_kind(EntryKind.UPSTREAM)
-        if _as(Upstream, item).upstream_kind is wanted
+        if _narrow(Upstream, item).upstream_kind is required_kind
     ]
-    if name in fitting:
+    if name in candidates:
         return
     found = catalogue.upstream(name)
     problem = f"{name!r} does not exist"
     if found is not None:
         problem = f"{name!r} is of kind {found.upstream_kind.value}"
     yield _fault(
-        entry, field, problem, f"an upstream of kind {wanted.value}: {_one_of(fitting)}"
+        entry,
+        field,
+        problem,
+        f"an upstream of kind {required_kind.value}: {_one_of(candidates)}",
     )
 
 
-def _check_range(entry: Entry, field: str, most: float) -> Iterator[CatalogueFault]:
-    """Check that a field is above zero and no more than a bound."""
+def _check_range(entry: Entry, field: str, maximum: float) -> Iterator[CatalogueFault]:
+    """Check that a field is above zero and at most ``maximum``."""
     value = getattr(entry, field)
-    if not _is_positive(value) or value > most:
-        allowed = f"{_POSITIVE} and at most {most:g}"
+    if not _is_positive(value) or value > maximum:
+        allowed = f"{_POSITIVE} and at most {maximum:g}"
         yield _fault(entry, field, str(value), allowed)
 
 
-def _check_digests_apart(catalogue: Catalogue) -> Iterator[CatalogueFault]:
-    """Check that no key opens two accounts.
+def _check_unique_digests(catalogue: Catalogue) -> Iterator[CatalogueFault]:
+    """Check that no two accounts have the same key.
 
-    With a shared key a request could count for either account, and could reach the
-    other one's cached prompts.
+    A request with a shared key could count against either account and reach cached
+    prompts of the other.
     """
-    holder: dict[str, str] = {}
+    account_by_digest: dict[str, str] = {}
     for item in catalogue.of_kind(EntryKind.ACCOUNT):
-        account = _as(Account, item)
+        account = _narrow(Account, item)
         for digest in account.key_digests:
-            first = holder.setdefault(digest, account.name)
-            if first != account.name:
-                problem = f"a key of account/{first} as well"
-                yield _fault(account, "key_digests", problem, "a key of its own")
+            first_account = account_by_digest.setdefault(digest, account.name)
+            if first_account != account.name:
+                problem = f"also a key of account/{first_account}"
+                yield _fault(
+                    account, "key_digests", problem, "a key that no other account has"
+                )
 
 
-def _missing(
+def _missing_reference(
     entry: Entry, field: str, name: str, catalogue: Catalogue, *kinds: EntryKind
 ) -> CatalogueFault:
     names = [item.name for kind in kinds for item in catalogue.of_kind(kind)]
@@ -260,8 +274,10 @@
     return math.isfinite(value) and value > 0
 
 
-def _as(cls: type[E], entry: Entry) -> E:
-    """Narrow an entry to the class that its kind has."""
+def _narrow(cls: type[E], entry: Entry) -> E:
+    """Narrow an entry to the class of its kind."""
     if not isinstance(entry, cls):
-        raise TypeError(f"{key_of(entry)} is held as {type(entry).__name__}")
+        raise TypeError(
+            f"{key_of(entry)} is a {type(entry).__name__}, expected {cls.__name__}"
+        )
     return entry
--- a/packages/corianderlb-core/src/corianderlb_core/catalogue_codec.py
+++ b/packages/corianderlb-core/src/corianderlb_core/catalogue_codec.py
@@ -1,7 +1,7 @@
-"""Write catalogue entries, changes and snapshots as JSON for the platform's store.
+"""Encode catalogue entries, changes and snapshots as JSON for the platform's store.
 
-Entries are a union, so each is a map that names its ``kind``. A change is stored once
-and passed between routers as the very bytes that were stored.
+Entries are a tagged union: each is a map with its ``kind``. A change is stored once,
+and routers forward the stored bytes unchanged.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from .codec import DecodeError, from_plain, plain_from_json, to_plain
 
 KIND_FIELD: Final = "kind"
-"""The field that tells which class an entry is."""
+"""The field that selects the class of an entry."""
 
 _ENTRY_LISTS: Final = ("put", "previous")
 
 
 def entry_to_plain(entry: Entry) -> dict[str, Any]:
-    """Return an entry as a map that starts with its kind."""
+    """Return an entry as a map whose first field is its kind."""
     return {KIND_FIELD: entry.kind.value, **to_plain(entry)}
 
 
 def entry_from_plain(plain: Any, strict: bool = True) -> Entry:
-    """Return the entry that a map describes.
+    """Return the entry decoded from a map.
 
-    For example ``{"kind": "upstream", "name": "yard-app", "owner": "yard-team",
+    For example, ``{"kind": "upstream", "name": "yard-app", "owner": "yard-team",
     "upstream_kind": "service"}`` gives an ``Upstream``.
     """
     if not isinstance(plain, dict) or KIND_FIELD not in plain:
-        raise DecodeError("an entry is a map with the field 'kind'; add it")
+        raise DecodeError("an entry must be a map with the field 'kind'")
     body = {name: value for name, value in plain.items() if name != KIND_FIELD}
-    return from_plain(ENTRY_TYPES[_kind(plain[KIND_FIELD])], body, strict=strict)
+    return from_plain(ENTRY_TYPES[_parse_kind(plain[KIND_FIELD])], body, strict=strict)
 
 
 def change_to_json(change: Change) -> bytes:
-    """Return the bytes that the store keeps for a change."""
+    """Return a change as the bytes to store."""
     plain = {
         field.name: getattr(change, field.name) for field in dataclasses.fields(change)
     }
@@ -49,23 +49,23 @@
 
 
 def change_from_json(data: bytes) -> Change:
-    """Return the change that the store's bytes hold."""
+    """Return the change decoded from stored bytes."""
     plain = plain_from_json(data)
     if not isinstance(plain, dict):
-        raise DecodeError("a change is a map; the stored object is something else")
-    lists = {name: _entries(plain.get(name, [])) for name in _ENTRY_LISTS}
+        raise DecodeError(f"a stored change must be a map, not {type(plain).__name__}")
+    lists = {name: _entries_from_plain(plain.get(name, [])) for name in _ENTRY_LISTS}
     removed = tuple(key_from_str(text) for text in plain.get("removed", []))
     rest = {
         name: value
         for name, value in plain.items()
         if name not in (*_ENTRY_LISTS, "removed")
     }
-    bare = from_plain(Change, rest, strict=False)
-    return dataclasses.replace(bare, removed=removed, **lists)
+    change = from_plain(Change, rest, strict=False)
+    return dataclasses.replace(change, removed=removed, **lists)
 
 
 def catalogue_to_json(catalogue: Catalogue) -> bytes:
-    """Return a snapshot of the catalogue."""
+    """Return a snapshot of the catalogue as the bytes to store."""
     plain = {
         "version": catalogue.version,
         "entries": [
@@ -77,7 +77,7 @@
 
 
 def catalogue_from_json(data: bytes) -> Catalogue:
-    """Return the catalogue that a snapshot holds."""
+    """Return the catalogue decoded from a snapshot."""
     plain = plain_from_json(data)
     entries = {}
     changed_in = {}
@@ -89,24 +89,24 @@
             changed_in[key_of(entry)] = version
         return Catalogue(int(plain["version"]), entries, changed_in)
     except (KeyError, TypeError, AttributeError, ValueError) as exc:
-        raise DecodeError(f"snapshot: {exc!r}; delete it and it is made anew") from exc
+        raise DecodeError(f"snapshot: {exc!r}; delete it to have it rebuilt") from exc
 
 
 def key_from_str(text: str) -> EntryKey:
-    """Return the key that prints as ``text``, such as ``model/ember-llm``."""
+    """Parse the key of an entry, such as ``model/ember-llm``."""
     kind, slash, name = text.partition("/")
     if not slash or not name:
-        raise DecodeError(f"{text!r}: an entry is named kind/name")
-    return EntryKey(_kind(kind), name)
+        raise DecodeError(f"{text!r}: an entry's key must have the form kind/name")
+    return EntryKey(_parse_kind(kind), name)
 
 
-def _entries(plain: Any) -> tuple[Entry, ...]:
+def _entries_from_plain(plain: Any) -> tuple[Entry, ...]:
     return tuple(entry_from_plain(item, strict=False) for item in plain)
 
 
-def _kind(word: Any) -> EntryKind:
+def _parse_kind(value: Any) -> EntryKind:
     try:
-        return EntryKind(word)
+        return EntryKind(value)
     except ValueError as exc:
         allowed = ", ".join(kind.value for kind in EntryKind)
-        raise DecodeError(f"kind: {word!r} is none of {allowed}") from exc
+        raise DecodeError(f"kind: {value!r} is none of {allowed}") from exc
--- a/packages/corianderlb-core/src/corianderlb_core/change.py
+++ b/packages/corianderlb-core/src/corianderlb_core/change.py
@@ -1,8 +1,8 @@
-"""Catalogue changes: the write that accepts an edit is its audit record as well.
+"""Catalogue changes; the stored change is also the audit record of its edit.
 
-Change N is the object ``changes/N`` of the platform's store, made by create-if-absent.
-The state at version N is the fold of changes 1 to N, so no accepted change can be
-half there, and none can be reverted by an older writer.
+Change N is the object ``changes/N`` of the platform's store, written by
+create-if-absent. The state at version N is the fold of changes 1 to N, so a change is
+never partly applied and a writer with an older state cannot revert one.
 """
 
 from __future__ import annotations
@@ -16,42 +16,42 @@
 from .result import ResultCode
 
 CHANGE_KEY_WIDTH: Final = 12
-"""Digits in a change's store key, so that keys sort by version."""
+"""Digits of the version in a store key, zero-padded so that keys sort by version."""
 
 CHANGE_PREFIX: Final = "changes/"
-"""Where changes live in the store."""
+"""Prefix of the store keys of changes."""
 
 SNAPSHOT_PREFIX: Final = "snapshots/"
-"""Where folded catalogues live in the store; they bound the replay."""
+"""Prefix of the store keys of snapshots, which limit the changes to replay."""
 
 
 class ChangeOrderError(CorianderError):
-    """Signal a change that does not follow the catalogue it is applied to."""
+    """A change whose version does not follow that of the catalogue."""
 
     code = ResultCode.EDIT_CONFLICT
 
 
 @dataclass(frozen=True)
 class Change:
-    """Record one accepted edit: who, when, why, on which base, and the difference."""
+    """An accepted edit: author, time, reason, base version and difference."""
 
     version: int
-    """The catalogue version that this change makes."""
+    """The catalogue version that results from this change."""
     edit_id: str
-    """Chosen by the editor, so that a lost answer can be settled by reading back."""
+    """Set by the editor, which can read the change back if the response is lost."""
     author: str
-    """Who asked for it."""
+    """Who requested the edit."""
     owner: str
-    """Who answers for it: the owner named in the entries, or the approver."""
+    """Who is responsible: the owners of the entries, or the approver."""
     reason: str
     accepted_at: str
     """Time of the edit, ISO 8601 in UTC, from the editor's clock."""
     put: tuple[Entry, ...] = ()
-    """Entries as they are after the change."""
+    """Added and replaced entries, after the change."""
     removed: tuple[EntryKey, ...] = ()
-    """Entries that the change takes away."""
+    """Keys of the entries that the change removes."""
     previous: tuple[Entry, ...] = ()
-    """Entries as they were before, so that the record shows the difference alone."""
+    """The same entries before the change, so that the record shows the difference."""
 
     @property
     def base_version(self) -> int:
@@ -62,7 +62,7 @@
 def change_key(version: int) -> str:
     """Return the store key of a change.
 
-    For example ``change_key(7)`` is ``"changes/000000000007"``.
+    For example, ``change_key(7)`` is ``"changes/000000000007"``.
     """
     return f"{CHANGE_PREFIX}{version:0{CHANGE_KEY_WIDTH}d}"
 
@@ -75,13 +75,13 @@
 def apply_change(catalogue: Catalogue, change: Change) -> Catalogue:
     """Return the catalogue after the change.
 
-    Raise ``ChangeOrderError`` unless the change is the very next one: applying out of
-    order would bring back entries that a change in between took away.
+    Raise ``ChangeOrderError`` unless the change is the next version: applied out of
+    order, it could restore entries that a skipped change removed.
     """
     if change.version != catalogue.version + 1:
         raise ChangeOrderError(
             f"change {change.version} does not follow version {catalogue.version}; "
-            "fetch the changes in between first"
+            "fetch the missing changes first"
         )
     entries = dict(catalogue.entries)
     changed_in = dict(catalogue.changed_in)
@@ -95,7 +95,7 @@
 
 
 def fold(changes: Iterable[Change], base: Catalogue | None = None) -> Catalogue:
-    """Return the catalogue after all changes, in their order."""
+    """Return the catalogue after applying the changes in order."""
     catalogue = base or Catalogue()
     for change in changes:
         catalogue = apply_change(catalogue, change)
--- a/packages/corianderlb-core/src/corianderlb_core/edit.py
+++ b/packages/corianderlb-core/src/corianderlb_core/edit.py
@@ -1,7 +1,7 @@
-"""Edits: what an operator wants changed, against the version they looked at.
+"""Edits of the catalogue, based on the version that the operator read.
 
-An ``Edit`` becomes a ``Change`` with the difference it makes. Two edits of the same
-version race; the later one is told of both differences and is never merged silently.
+An accepted ``Edit`` becomes a ``Change``. Of two edits of the same version the second
+is refused with the differences of both; edits are never merged silently.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 
 
 class EditError(CorianderError):
-    """Signal an edit that makes no sense as it stands."""
+    """An invalid edit."""
 
     code = ResultCode.CATALOGUE_INVALID
 
 
 @dataclass(frozen=True)
 class Edit:
-    """Hold what one operator wants changed, and why."""
+    """A change that an operator requests, and the reason."""
 
     edit_id: str
-    """Unique to the edit; sending the same edit again never applies it twice."""
+    """Unique to the edit; an edit that is sent again is not applied twice."""
     base_version: int
-    """The version that the operator looked at."""
+    """The version that the operator read."""
     author: str
     reason: str
     put: tuple[Entry, ...] = ()
     removed: tuple[EntryKey, ...] = ()
     owner: str = ""
-    """Who answers for the edit; empty for the owners of the entries it touches."""
+    """Who is responsible; empty for the owners of the changed entries."""
 
 
 @dataclass(frozen=True)
 class FieldDifference:
-    """Hold one field of an entry before and after, as plain values."""
+    """Plain values of an entry's field before and after a change."""
 
     field: str
     before: object
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class EntryDifference:
-    """Hold one entry before and after; None where there is none."""
+    """An entry before and after a change; None where it does not exist."""
 
     key: EntryKey
     before: Entry | None
@@ -62,9 +62,9 @@
 
     @property
     def fields(self) -> tuple[FieldDifference, ...]:
-        """The fields that differ, nested ones by their path."""
-        before = _flat(self.before)
-        after = _flat(self.after)
+        """The fields that differ; nested fields are named by their path."""
+        before = _flatten(self.before)
+        after = _flatten(self.after)
         names = sorted(before.keys() | after.keys())
         return tuple(
             FieldDifference(name, before.get(name), after.get(name))
@@ -82,17 +82,17 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """Show an edit that came second beside the changes that came first."""
+    """A refused edit and the changes that were accepted before it."""
 
     mine: Change
     theirs: tuple[Change, ...]
-    """What was accepted since the version that the edit was based on."""
+    """Changes accepted after the edit's base version."""
 
     @property
     def shared(self) -> tuple[EntryKey, ...]:
-        """Entries that both sides touch."""
-        taken = {key for change in self.theirs for key in touched(change)}
-        return tuple(key for key in touched(self.mine) if key in taken)
+        """Entries that both sides change."""
+        accepted = {key for change in self.theirs for key in touched(change)}
+        return tuple(key for key in touched(self.mine) if key in accepted)
 
     def __str__(self) -> str:
         lines = [f"yours, based on version {self.mine.base_version}:"]
@@ -110,8 +110,8 @@
 def change_of(edit: Edit, base: Catalogue, accepted_at: str) -> Change:
     """Return the change that an edit makes to its base version.
 
-    Raise ``EditError`` for an edit that changes nothing or removes what is not there,
-    and ``CatalogueInvalidError`` with all faults of the catalogue it would make.
+    Raise ``EditError`` for an edit that changes nothing or removes an unknown entry,
+    and ``CatalogueInvalidError`` with all faults of the resulting catalogue.
     """
     if edit.base_version != base.version:
         raise EditError(
@@ -120,18 +120,22 @@
         )
     for name in ("edit_id", "author", "reason"):
         if not getattr(edit, name).strip():
-            raise EditError(f"{name}: empty; an edit names who wants it and why")
-    put = _changing(edit, base)
+            raise EditError(
+                f"{name}: empty; an edit must have an edit_id, author and reason"
+            )
+    put = _effective_puts(edit, base)
     keys = [*map(key_of, put), *edit.removed]
     if not keys:
-        raise EditError("the edit changes nothing; version stays as it is")
+        raise EditError("the edit changes nothing; no new version is created")
     if len(set(keys)) != len(keys):
-        raise EditError("the edit names an entry twice; put or remove each one once")
+        raise EditError(
+            "the edit contains an entry twice; put or remove each entry once"
+        )
     change = Change(
         version=base.version + 1,
         edit_id=edit.edit_id,
         author=edit.author,
-        owner=edit.owner or _owners(put, edit.removed, base),
+        owner=edit.owner or _default_owner(put, edit.removed, base),
         reason=edit.reason,
         accepted_at=accepted_at,
         put=put,
@@ -142,13 +146,13 @@
     return change
 
 
-def edit_towards(edit: Edit, base: Catalogue, wanted: Iterable[Entry]) -> Edit:
-    """Return the edit with the puts and removals that lead to the wanted entries.
+def edit_towards(edit: Edit, base: Catalogue, desired: Iterable[Entry]) -> Edit:
+    """Return the edit that turns the base catalogue into the desired entries.
 
-    For example, entries from a file that lack ``route/old`` give an edit that removes
-    that route; entries that are equal already are left out.
+    For example, if a file lacks ``route/old``, the edit removes that route; unchanged
+    entries are left out.
     """
-    entries = {key_of(entry): entry for entry in wanted}
+    entries = {key_of(entry): entry for entry in desired}
     put = tuple(
         entry for key, entry in entries.items() if base.entries.get(key) != entry
     )
@@ -159,7 +163,7 @@
 
 
 def difference_of(change: Change) -> tuple[EntryDifference, ...]:
-    """Return what a change does, entry by entry, from its own record alone."""
+    """Return the difference per entry, from the change's own record."""
     before = {key_of(entry): entry for entry in change.previous}
     after = {key_of(entry): entry for entry in change.put}
     return tuple(
@@ -168,22 +172,22 @@
 
 
 def touched(change: Change) -> tuple[EntryKey, ...]:
-    """Return the entries that a change puts or removes."""
+    """Return the keys of the entries that a change puts or removes."""
     return (*map(key_of, change.put), *change.removed)
 
 
-def same_edit(one: Change, other: Change) -> bool:
-    """Tell whether two changes come from the same edit.
+def same_edit(first: Change, second: Change) -> bool:
+    """Return whether two changes come from the same edit.
 
-    The time is left out: an edit that is sent again carries a later one.
+    ``accepted_at`` is ignored, as an edit that is sent again has a later time.
     """
-    return dataclasses.replace(one, accepted_at="") == dataclasses.replace(
-        other, accepted_at=""
+    return dataclasses.replace(first, accepted_at="") == dataclasses.replace(
+        second, accepted_at=""
     )
 
 
-def _changing(edit: Edit, base: Catalogue) -> tuple[Entry, ...]:
-    """Return the puts that change something; check that removals can be done."""
+def _effective_puts(edit: Edit, base: Catalogue) -> tuple[Entry, ...]:
+    """Return the puts that differ from the base; check that removed entries exist."""
     for key in edit.removed:
         if key not in base.entries:
             raise EditError(f"{key}: not in version {base.version}; leave it out")
@@ -192,7 +196,7 @@
     )
 
 
-def _owners(
+def _default_owner(
     put: tuple[Entry, ...], removed: tuple[EntryKey, ...], base: Catalogue
 ) -> str:
     owners = {entry.owner for entry in put}
@@ -200,8 +204,8 @@
     return ", ".join(sorted(owners))
 
 
-def _flat(entry: Entry | None) -> dict[str, object]:
-    """Return the fields of an entry with nested ones by their path."""
+def _flatten(entry: Entry | None) -> dict[str, object]:
+    """Return the fields of an entry; nested fields are named by their path."""
     if entry is None:
         return {}
     flat: dict[str, object] = {}
--- a/packages/corianderlb-core/src/corianderlb_core/snapshot.py
+++ b/packages/corianderlb-core/src/corianderlb_core/snapshot.py
@@ -1,8 +1,8 @@
-"""Fold stored changes into a snapshot without losing what this version cannot read.
+"""Fold stored changes into a snapshot without losing unknown fields.
 
-A snapshot bounds how many changes a starting router reads. It is worked out on the
-plain JSON of the changes: a router of an older release does not know the newest fields,
-and a snapshot of its typed entries would take them out of the catalogue for good.
+A snapshot limits how many changes a starting router reads. It is built from the plain
+JSON of the changes: a router of an older release does not know newer fields, and a
+snapshot of its typed entries would remove them from the catalogue.
 """
 
 from __future__ import annotations
@@ -15,36 +15,38 @@
 
 
 def fold_stored(base: bytes | None, changes: Iterable[bytes]) -> bytes:
-    """Return the snapshot after the changes, from an earlier snapshot or from nothing.
+    """Return the snapshot after the changes, starting from ``base`` if there is one.
 
-    The result depends on the log alone, so whoever makes the snapshot of a version
-    makes the same bytes. Raise ``DecodeError`` when a change is missing in between.
+    The result depends only on the log, so all routers write the same bytes for a
+    version. Raise ``DecodeError`` if a change is missing.
     """
-    plain = plain_from_json(base) if base is not None else _EMPTY
+    plain = plain_from_json(base) if base is not None else _EMPTY_SNAPSHOT
     try:
         version = int(plain["version"])
-        entries = {_name(item): item for item in plain["entries"]}
+        entries = {_entry_key(item): item for item in plain["entries"]}
         for data in changes:
             change = plain_from_json(data)
             if change["version"] != version + 1:
-                raise DecodeError(f"no change {version + 1}; read the log again")
+                raise DecodeError(
+                    f"change {version + 1} is missing; read the log again"
+                )
             version += 1
-            _apply(entries, change)
+            _apply_plain_change(entries, change)
     except (KeyError, TypeError, ValueError) as exc:
         raise DecodeError(f"stored change or snapshot: {exc!r}") from exc
     folded = {"version": version, "entries": list(entries.values())}
     return json.dumps(folded, separators=(",", ":")).encode()
 
 
-_EMPTY: dict[str, Any] = {"version": 0, "entries": []}
+_EMPTY_SNAPSHOT: dict[str, Any] = {"version": 0, "entries": []}
 
 
-def _apply(entries: dict[str, Any], change: dict[str, Any]) -> None:
+def _apply_plain_change(entries: dict[str, Any], change: dict[str, Any]) -> None:
     for name in change.get("removed", []):
         entries.pop(name, None)
     for item in change.get("put", []):
-        entries[_name(item)] = {"changed_in": change["version"], **item}
+        entries[_entry_key(item)] = {"changed_in": change["version"], **item}
 
 
-def _name(item: dict[str, Any]) -> str:
+def _entry_key(item: dict[str, Any]) -> str:
     return f"{item['kind']}/{item['name']}"
--- a/packages/corianderlb-core/tests/test_catalogue_chain.py
+++ b/packages/corianderlb-core/tests/test_catalogue_chain.py
@@ -1,17 +1,21 @@
-"""The catalogue known here only grows, whoever offers what in which order."""
+"""The catalogue chain applies each change once and in order."""
 
 from __future__ import annotations
 
 import random
 import unittest
 
-from corianderlb_core.catalogue_chain import MAX_KEPT, CatalogueChain, ChainError
+from corianderlb_core.catalogue_chain import (
+    MAX_UNFOLDED_CHANGES,
+    CatalogueChain,
+    ChainError,
+)
 from corianderlb_core.catalogue_codec import catalogue_to_json, change_to_json
 from corianderlb_core.change import Change, fold
 from corianderlb_standins.builder import a_change, an_upstream
 
 
-def log_of(n_changes: int) -> list[Change]:
+def build_log(n_changes: int) -> list[Change]:
     return [
         a_change(i + 1, an_upstream(f"u{i % 7}", owner=f"team-{i}"))
         for i in range(n_changes)
@@ -20,12 +24,12 @@
 
 class ChainTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.log = log_of(200)
+        self.log = build_log(200)
         self.stored = [change_to_json(change) for change in self.log]
         self.chain = CatalogueChain()
 
-    def test_old_and_repeated_changes_do_nothing(self) -> None:
-        """A peer that was cut off offers what it has, long replaced here."""
+    def test_old_and_repeated_changes_are_ignored(self) -> None:
+        """A partitioned peer offers changes that are outdated here."""
         self.chain.take(self.stored[:9])
         self.assertEqual(self.chain.take(self.stored[:5]), 0)
         old = catalogue_to_json(fold(self.log[:5]))
@@ -33,13 +37,13 @@
         self.assertEqual(self.chain.catalogue, fold(self.log[:9]))
 
     def test_gap_is_refused(self) -> None:
-        """An offer lacks a change in between, which may have removed an account."""
+        """A skipped change may have removed an account."""
         self.chain.take(self.stored[:3])
         with self.assertRaises(ChainError):
             self.chain.take(self.stored[4:6])
         self.assertEqual(self.chain.version, 3)
 
-    def test_bytes_that_are_no_change_are_refused(self) -> None:
+    def test_invalid_bytes_are_refused(self) -> None:
         for data in (b"", b"[]", b'{"version": 1}', b"\xff"):
             with self.assertRaises(ChainError):
                 self.chain.take([data])
@@ -71,7 +75,7 @@
     def test_memory_is_bounded_and_snapshots_are_exact(self) -> None:
         for data in self.stored:
             self.chain.take([data])
-            self.assertLessEqual(len(self.chain._changes), MAX_KEPT)
-        wanted = catalogue_to_json(fold(self.log[:192]))
-        self.assertEqual(self.chain.snapshot_at(192), wanted)
+            self.assertLessEqual(len(self.chain._changes), MAX_UNFOLDED_CHANGES)
+        expected = catalogue_to_json(fold(self.log[:192]))
+        self.assertEqual(self.chain.snapshot_at(192), expected)
         self.assertIsNone(self.chain.snapshot_at(32))
--- a/packages/corianderlb-core/tests/test_catalogue_check.py
+++ b/packages/corianderlb-core/tests/test_catalogue_check.py
@@ -1,4 +1,4 @@
-"""A catalogue is checked as a whole, and every fault is told by entry and field."""
+"""A catalogue is validated as a whole; faults name the entry and the field."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 
 
 class CheckTest(unittest.TestCase):
-    def test_whole_catalogue_passes(self) -> None:
-        whole = a_catalogue(
+    def test_valid_catalogue_has_no_faults(self) -> None:
+        valid = a_catalogue(
             an_upstream(), a_service(), a_model(), an_account(), a_route()
         )
-        self.assertEqual(check_catalogue(whole), ())
+        self.assertEqual(check_catalogue(valid), ())
 
-    def test_all_faults_are_told(self) -> None:
-        twice = an_account("a").key_digests
+    def test_all_faults_are_reported(self) -> None:
+        shared_digests = an_account("a").key_digests
         broken = a_catalogue(
             an_upstream(owner=" "),
             a_model(upstream="gone", piece_chars=0),
             a_model("spec-reader", kv_cache="ember-llm", weights_version=""),
             Adapter(name="ember-llm", owner="x", model="gone", version="1"),
             an_account("a", models=("gone",), limits=Limits(requests_per_s=0)),
-            an_account("b", key_digests=twice, weight=float("nan")),
+            an_account("b", key_digests=shared_digests, weight=float("nan")),
             a_route(upstream="ember-llm", methods=("GRAB",), timeout_s=0),
         )
-        told = {(str(fault.key), fault.field) for fault in check_catalogue(broken)}
+        reported = {(str(fault.key), fault.field) for fault in check_catalogue(broken)}
         self.assertEqual(
-            told,
+            reported,
             {
                 ("upstream/ember-llm", "owner"),
                 ("model/ember-llm", "upstream"),
@@ -88,9 +88,9 @@
 class EditTest(unittest.TestCase):
     def test_change_holds_the_difference(self) -> None:
         base = a_catalogue(an_upstream(), a_model())
-        heavier = a_model(weights_version="w2")
-        change = change_of(an_edit(put=(heavier, an_upstream())), base, "now")
-        self.assertEqual(change.put, (heavier,))
+        updated = a_model(weights_version="w2")
+        change = change_of(an_edit(put=(updated, an_upstream())), base, "now")
+        self.assertEqual(change.put, (updated,))
         self.assertEqual(change.previous, (a_model(),))
         self.assertEqual(change.owner, "model-team")
 
@@ -105,7 +105,7 @@
         with self.assertRaisesRegex(EditError, "changes nothing"):
             change_of(an_edit(put=(an_upstream(),)), base, "now")
 
-    def test_edit_towards_wanted_entries(self) -> None:
+    def test_edit_towards_desired_entries(self) -> None:
         base = a_catalogue(an_upstream(), a_model())
         other = an_upstream("spec-reader")
         edit = edit_towards(an_edit(), base, [an_upstream(), other])
@@ -124,23 +124,20 @@
 
 class SnapshotTest(unittest.TestCase):
     def test_plain_fold_equals_typed_fold(self) -> None:
-        gone = (EntryKey(EntryKind.MODEL, "ember-llm"),)
+        removed = (EntryKey(EntryKind.MODEL, "ember-llm"),)
         changes = [
             a_change(1, an_upstream(), a_model()),
             a_change(2, an_upstream(owner="other")),
-            a_change(3, an_upstream("b"), removed=gone),
+            a_change(3, an_upstream("b"), removed=removed),
         ]
         stored = [change_to_json(change) for change in changes]
         typed = catalogue_to_json(fold(changes))
         self.assertEqual(fold_stored(None, stored), typed)
-        halfway = fold_stored(None, stored[:1])
-        self.assertEqual(fold_stored(halfway, stored[1:]), typed)
+        first_snapshot = fold_stored(None, stored[:1])
+        self.assertEqual(fold_stored(first_snapshot, stored[1:]), typed)
 
     def test_field_of_a_newer_release_survives(self) -> None:
-        """A newer router wrote a field that this release does not know.
-
-        A snapshot without it would take the field out of the catalogue for good.
-        """
+        """A snapshot must not drop a field that this release does not know."""
         data = change_to_json(a_change(1, an_upstream()))
         newer = data.replace(b'"owner":"platform-team","serv', b'"new":1,"serv')
         self.assertNotEqual(newer, data)
