--- a/packages/corianderlb-core/src/corianderlb_core/journal.py
+++ b/packages/corianderlb-core/src/corianderlb_core/journal.py
@@ -1,10 +1,10 @@
-"""Decide what the journal of non-repeatable calls allows; the router does the writing.
+"""State of the journal of non-repeatable calls; the router does the I/O.
 
-A shard of the journal is a head object, which changes, and sealed segments, which do
-not. The head's conditional update is the fence: of two routers that begin the same
-call, one update takes effect, and the other is applied again to what the first wrote.
-All operations may be applied twice: each looks for its own attempt id first. So an
-update whose answer was lost is settled by reading the head back and applying again.
+A shard of the journal consists of a mutable head object and immutable sealed segments.
+Conditional updates of the head serialize the routers: if two begin the same call, one
+update succeeds and the other is applied again to the new head. Operations are
+idempotent, as each checks for its own attempt id first. So after an update whose
+response was lost, the router reads the head back and applies the operation again.
 """
 
 from __future__ import annotations
@@ -20,71 +20,71 @@
 from .identity import AccountId, AttemptId, InstanceId
 
 KEY_BYTES: Final = 16
-"""Length of the digests in a record; 128 bits do not collide by accident."""
+"""Length of the digests in a record, enough to rule out accidental collisions."""
 
-CHART: Final = "call"
-"""The chart of a record's life."""
+CALL_CHART: Final = "call"
+"""Name of the state chart of a record."""
 
 
 class CallState(Enum):
-    """Name the states of a record, as the chart ``call`` does."""
+    """State of a record in the state chart ``call``."""
 
     ABSENT = "absent"
     BEGUN = "begun"
-    """A router may be sending it now."""
+    """A router may be sending the call."""
     FINISHED = "finished"
     UNKNOWN = "unknown"
-    """It was sent and no answer came."""
+    """The call was sent, but no answer was received."""
     NOT_RUN = "not_run"
-    """It was never sent; the key may begin again."""
+    """The call was never sent; its key may begin again."""
 
 
 class Verdict(Enum):
-    """Say what a journal decides about beginning a call."""
+    """Result of beginning a call."""
 
     RUN = "run"
-    """This attempt alone may run it."""
+    """Only this attempt may run the call."""
     EARLIER = "earlier"
-    """It ran; the record holds the answer."""
+    """The call has run; the record holds its answer."""
     IN_PROGRESS = "in_progress"
     UNKNOWN = "unknown"
     KEY_REUSED = "key_reused"
-    """The key belongs to another request."""
+    """The idempotency key was used for a different request."""
     FULL = "full"
-    """The shard has no room; nothing was recorded."""
+    """The shard is at capacity; nothing was recorded."""
 
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """Hold an answer as the journal keeps it."""
+    """An answer as stored in the journal."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes = b""
     n_chunks: int = 0
-    """Objects that hold the body in place of ``body``."""
+    """Number of separate objects that hold the body in place of ``body``."""
 
 
 @dataclass(frozen=True)
 class CallRecord:
-    """Hold what the journal knows about one call."""
+    """The journal's record of one call."""
 
     key: bytes
     digest: bytes
-    """Digest of target and request, to tell a repeat from a reused key."""
+    """Digest of target and body, to tell a repeat from a reused key."""
     attempt_id: AttemptId
     router: InstanceId
     epoch: int
-    """Of the router's life that runs it."""
+    """Epoch of the router incarnation that runs the call."""
     begun_at: float
-    """Unix time, for retention alone: routers' clocks differ a little."""
+    """Unix time; used only for retention, as routers' clocks differ."""
     state: CallState = CallState.BEGUN
     answer: StoredAnswer | None = None
 
 
 @dataclass(frozen=True)
 class SegmentRef:
-    """Point to a sealed segment."""
+    """Reference to a sealed segment."""
 
     name: str
     newest_at: float
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True)
 class ShardHead:
-    """Hold the part of a shard that changes, as it is stored."""
+    """The mutable part of a shard, as stored."""
 
     records: tuple[CallRecord, ...] = ()
     sealed: tuple[SegmentRef, ...] = ()
@@ -102,26 +102,26 @@
 
 @dataclass(frozen=True)
 class Segment:
-    """Hold settled records, as they are stored; never changed."""
+    """Sealed records, as stored; immutable."""
 
     records: tuple[CallRecord, ...] = ()
 
 
 @dataclass(frozen=True)
 class Begin:
-    """Ask to run a call; the record is in state ``BEGUN``."""
+    """Request to run a call; the record is in state ``BEGUN``."""
 
     record: CallRecord
 
     @property
     def attempt_id(self) -> AttemptId:
-        """The attempt that asks."""
+        """The attempt that wants to run the call."""
         return self.record.attempt_id
 
 
 @dataclass(frozen=True)
 class Finish:
-    """Put down the answer of a call."""
+    """Record the answer of a call."""
 
     key: bytes
     attempt_id: AttemptId
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True)
 class Abandon:
-    """Put down that no answer came, and whether the call may have run."""
+    """Record that a call got no answer, and whether it may have run."""
 
     key: bytes
     attempt_id: AttemptId
@@ -141,32 +141,32 @@
 
 
 def call_key(account: AccountId, idempotency_key: str) -> bytes:
-    """Return the journal's key of a call; accounts cannot meet each other's keys."""
+    """Return the journal key of a call; keys of different accounts do not collide."""
     return _digest(account.encode(), idempotency_key.encode())
 
 
 def request_digest(target: str, body_digest: bytes) -> bytes:
-    """Return what a repeat has to have in common with the first request."""
+    """Return the digest that a repeat must share with the first request."""
     return _digest(target.encode(), body_digest)
 
 
 def shard_of(key: bytes, n_shards: int) -> int:
-    """Return the shard that a call's record lives in."""
+    """Return the index of the shard that stores a call's record."""
     return int.from_bytes(key[:4], "big") % n_shards
 
 
 @dataclass
 class ShardState:
-    """Fold operations over one shard's records.
+    """Records of one shard, to which operations are applied.
 
-    ``records`` come from the head and go before ``settled`` from sealed segments, so
+    ``records`` of the head take precedence over ``settled`` ones of sealed segments, so
     that a late answer in the head overrides a sealed record without one.
     """
 
     records: dict[bytes, CallRecord] = field(default_factory=dict)
     settled: Mapping[bytes, CallRecord] = field(default_factory=dict)
     full: bool = False
-    """True while no new call may begin."""
+    """True if no new call may begin."""
 
     def find(self, key: bytes) -> CallRecord | None:
         """Return the record of a call, or None."""
@@ -177,69 +177,69 @@
         if isinstance(operation, Begin):
             return self._begin(operation.record)
         if isinstance(operation, Finish):
-            self._move(operation, "finish", operation.answer)
+            self._apply_event(operation, "finish", operation.answer)
             return None
-        self._move(operation, "lose" if operation.ran else "abandon", None)
+        self._apply_event(operation, "lose" if operation.ran else "abandon", None)
         return None
 
     def _begin(self, record: CallRecord) -> Verdict:
-        held = self.find(record.key)
-        if held is not None and held.attempt_id == record.attempt_id:
+        existing = self.find(record.key)
+        if existing is not None and existing.attempt_id == record.attempt_id:
             return Verdict.RUN
-        state = CallState.ABSENT if held is None else held.state
-        if _next(state, "begin") is None:
-            return _verdict_on(held, record)
+        state = CallState.ABSENT if existing is None else existing.state
+        if _next_state(state, "begin") is None:
+            return _verdict_for(existing, record)
         if self.full:
             return Verdict.FULL
         self.records[record.key] = record
         return Verdict.RUN
 
-    def _move(
+    def _apply_event(
         self, operation: Finish | Abandon, event: str, answer: StoredAnswer | None
     ) -> None:
-        held = self.find(operation.key)
-        if held is None or held.attempt_id != operation.attempt_id:
+        existing = self.find(operation.key)
+        if existing is None or existing.attempt_id != operation.attempt_id:
             return
-        state = _next(held.state, event)
+        state = _next_state(existing.state, event)
         if state is not None:
-            changed = dataclasses.replace(held, state=state, answer=answer)
+            changed = dataclasses.replace(existing, state=state, answer=answer)
             self.records[operation.key] = changed
 
 
-def judge(held: CallRecord, digest: bytes) -> Verdict:
-    """Return what a held record means for a request with that digest.
+def judge(existing: CallRecord, digest: bytes) -> Verdict:
+    """Return the verdict of an existing record on a request with that digest.
 
-    It is asked before the store is, so only final states let the caller go on.
+    It is used before the store is read, when only final states are conclusive.
     """
-    if held.state is CallState.NOT_RUN:
+    if existing.state is CallState.NOT_RUN:
         return Verdict.RUN
-    return _verdict_on(held, dataclasses.replace(held, digest=digest))
+    return _verdict_for(existing, dataclasses.replace(existing, digest=digest))
 
 
 def in_doubt(
     record: CallRecord,
     epochs: Mapping[InstanceId, int],
-    seen_for_s: float,
+    observed_for_s: float,
     owner_grace_s: float,
     in_doubt_s: float,
 ) -> bool:
-    """Return whether nobody can be expected to finish a call that has begun.
+    """Return whether no router can be expected to finish a call that has begun.
 
-    ``epochs`` has the live routers. A newer life of the record's router shows that the
-    one that ran the call is gone. A router that is merely missing may be unknown to
-    this one yet, so it gets ``owner_grace_s`` from the first sight of the record.
+    ``epochs`` has the live routers. A newer epoch of the record's router shows that the
+    incarnation that ran the call has ended. A missing router may not be known to this
+    one yet, so it gets ``owner_grace_s`` from when the record was first seen.
     """
     epoch = epochs.get(record.router)
     if epoch is not None and epoch > record.epoch:
         return True
-    if epoch is None and seen_for_s >= owner_grace_s:
+    if epoch is None and observed_for_s >= owner_grace_s:
         return True
-    return seen_for_s >= in_doubt_s
+    return observed_for_s >= in_doubt_s
 
 
 @dataclass(frozen=True)
-class Sealing:
-    """Hold how a head is split when it has grown too large."""
+class SealSplit:
+    """Split of a head that has grown too large."""
 
     settled: tuple[CallRecord, ...]
     kept: tuple[CallRecord, ...]
@@ -249,13 +249,13 @@
     records: Iterable[CallRecord],
     older: Mapping[bytes, CallRecord],
     begun_before: float,
-) -> Sealing:
+) -> SealSplit:
     """Split a head's records into those to seal and those to keep.
 
-    Records that are begun stay where their answer will be written. One begun before
-    ``begun_before`` has lost its router long ago: it is sealed as unknown, or dead
-    routers' records would fill the head for good. A record of a call that never ran
-    is dropped, unless it hides an older one.
+    Records in state ``BEGUN`` stay in the head, where their answer will be written. One
+    begun before ``begun_before`` is sealed as unknown, as records of crashed routers
+    would otherwise fill the head. A record of a call that never ran is dropped unless
+    it overrides an older one.
     """
     settled = []
     kept = []
@@ -268,7 +268,7 @@
             settled.append(dataclasses.replace(record, state=CallState.UNKNOWN))
         else:
             settled.append(record)
-    return Sealing(tuple(settled), tuple(kept))
+    return SealSplit(tuple(settled), tuple(kept))
 
 
 def expired(refs: Sequence[SegmentRef], before: float) -> tuple[SegmentRef, ...]:
@@ -276,18 +276,18 @@
     return tuple(ref for ref in refs if ref.newest_at < before)
 
 
-def _verdict_on(held: CallRecord, asked: CallRecord) -> Verdict:
-    if held.digest != asked.digest:
+def _verdict_for(existing: CallRecord, requested: CallRecord) -> Verdict:
+    if existing.digest != requested.digest:
         return Verdict.KEY_REUSED
-    if held.state is CallState.FINISHED:
+    if existing.state is CallState.FINISHED:
         return Verdict.EARLIER
-    if held.state is CallState.UNKNOWN:
+    if existing.state is CallState.UNKNOWN:
         return Verdict.UNKNOWN
     return Verdict.IN_PROGRESS
 
 
-def _next(state: CallState, event: str) -> CallState | None:
-    target = transitions(CHART).get((state.value, event))
+def _next_state(state: CallState, event: str) -> CallState | None:
+    target = transitions(CALL_CHART).get((state.value, event))
     return None if target is None else CallState(target)
 
 
--- a/packages/corianderlb-core/tests/test_journal_record.py
+++ b/packages/corianderlb-core/tests/test_journal_record.py
@@ -1,4 +1,4 @@
-"""What a journal's records allow, as operations are folded over them."""
+"""The journal allows each call to run at most once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class JournalRecordTest(unittest.TestCase):
-    def test_operations_may_be_applied_twice(self) -> None:
+    def test_operations_are_idempotent(self) -> None:
         state = ShardState()
         for operation in (
             Begin(a_record()),
@@ -40,7 +40,7 @@
             self.assertEqual(state.records, once)
         self.assertEqual(state.records[KEY].answer, ANSWER)
 
-    def test_other_attempt_cannot_end_the_call(self) -> None:
+    def test_other_attempt_cannot_finish_the_call(self) -> None:
         state = ShardState()
         state.apply(Begin(a_record()))
         state.apply(Finish(KEY, AttemptId("a2"), ANSWER))
@@ -48,10 +48,9 @@
         self.assertEqual(state.records[KEY].state, CallState.BEGUN)
 
     def test_late_answer_of_a_sealed_call_in_doubt(self) -> None:
-        """A router sleeps for an hour in the middle of a call, and then wakes.
+        """A router is suspended in a call while its record is sealed as unknown.
 
-        Its record was sealed as unknown meanwhile. The answer it brings must reach
-        the next repeat, which otherwise hears "unknown" until the record expires.
+        Its late answer must override the sealed record for the next repeat.
         """
         sealing = split_for_seal([a_record(begun_at=10.0)], {}, begun_before=50.0)
         self.assertEqual(sealing.kept, ())
@@ -61,15 +60,15 @@
         state.apply(Finish(KEY, AttemptId("a1"), ANSWER))
         self.assertEqual(state.apply(repeat), Verdict.EARLIER)
 
-    def test_running_call_stays_in_the_head(self) -> None:
+    def test_call_in_progress_stays_in_the_head(self) -> None:
         sealing = split_for_seal([a_record()], {}, begun_before=50.0)
         self.assertEqual(sealing.kept, (a_record(),))
 
-    def test_call_that_never_ran_hides_a_sealed_record(self) -> None:
+    def test_call_that_never_ran_overrides_a_sealed_record(self) -> None:
         state = ShardState()
         state.apply(Begin(a_record()))
         state.apply(Abandon(KEY, AttemptId("a1"), ran=False))
-        held = list(state.records.values())
-        self.assertEqual(split_for_seal(held, {}, 50.0).settled, ())
+        records = list(state.records.values())
+        self.assertEqual(split_for_seal(records, {}, 50.0).settled, ())
         older = {KEY: a_record()}
-        self.assertEqual(split_for_seal(held, older, 50.0).settled, tuple(held))
+        self.assertEqual(split_for_seal(records, older, 50.0).settled, tuple(records))
