--- a/packages/corianderlb-core/src/corianderlb_core/__init__.py
+++ b/packages/corianderlb-core/src/corianderlb_core/__init__.py
@@ -1,7 +1,7 @@
-"""Decide what the router does, without sockets, clocks or tasks.
+"""The router's decision logic, without sockets, clocks or tasks.
 
-Everything here is pure: time comes in as seconds on a monotonic clock, randomness as
-a ``random.Random``. A test or a bench can drive each decision without a router.
+Time is passed in as seconds of a monotonic clock, randomness as a ``random.Random``, so
+tests and benchmarks can run each decision without a router.
 """
 
 from __future__ import annotations
--- a/packages/corianderlb-core/src/corianderlb_core/settings_file.py
+++ b/packages/corianderlb-core/src/corianderlb_core/settings_file.py
@@ -1,7 +1,7 @@
-"""Read settings from a YAML file and say exactly where a mistake is.
+"""Read settings from a YAML file and report where an error is.
 
-Nothing starts on a file with an unknown field, a wrong type or a value out of range:
-the error names the file, the line, the path of the field and what is allowed there.
+An unknown field, a wrong type or a value out of range is refused at startup. The error
+names the file, the line, the path of the field and the allowed values.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from .result import ResultCode
 from .settings import RouterSettings
 
-_STEP: Final = re.compile(r"\.?([^.\[\]]+)|\[(\d+)\]")
-"""One step of a field's path: a name or an index."""
+_PATH_SEGMENT: Final = re.compile(r"\.?([^.\[\]]+)|\[(\d+)\]")
+"""One segment of a field's path: a name or an index."""
 
 
 class SettingsError(CorianderError):
-    """Signal settings that cannot be used, with file, line, field and remedy."""
+    """Invalid settings, with file, line, field and allowed values."""
 
     code = ResultCode.SETTINGS_INVALID
 
 
 def load_settings(path: Path) -> RouterSettings:
-    """Return the settings in a YAML file; raise ``SettingsError`` if they are wrong."""
-    text = _read(path)
+    """Return the settings in a YAML file; raise ``SettingsError`` if invalid."""
+    text = _read_text(path)
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
         plain = yaml.safe_load(text)
@@ -45,10 +45,10 @@
 
 
 def read_secret(path: str) -> bytes:
-    """Return the secret in a file that the settings name, without white space around.
+    """Return the secret in a file, stripped of surrounding white space.
 
-    Raise ``SettingsError`` when the file cannot be read or is empty: an empty shared
-    key would let any stranger in.
+    Raise ``SettingsError`` if the file cannot be read or is empty: an empty shared key
+    would accept any peer.
     """
     try:
         secret = Path(path).read_bytes().strip()
@@ -59,7 +59,7 @@
     return secret
 
 
-def _read(path: Path) -> str:
+def _read_text(path: Path) -> str:
     try:
         return path.read_text()
     except OSError as exc:
@@ -73,18 +73,18 @@
 
 
 def _line_of(root: yaml.Node | None, path: str) -> int:
-    """Return the line, from 1, of the deepest node on the path that exists."""
+    """Return the 1-based line of the deepest existing node on the path."""
     node = root
     line = 1
-    for name, index in _STEP.findall(path):
-        found = _child(node, name, index)
-        if found is None:
+    for name, index in _PATH_SEGMENT.findall(path):
+        child = _child_node(node, name, index)
+        if child is None:
             break
-        line, node = found
+        line, node = child
     return line
 
 
-def _child(
+def _child_node(
     node: yaml.Node | None, name: str, index: str
 ) -> tuple[int, yaml.Node] | None:
     if index and isinstance(node, yaml.SequenceNode):
--- a/packages/corianderlb-core/src/corianderlb_core/settings_table.py
+++ b/packages/corianderlb-core/src/corianderlb_core/settings_table.py
@@ -1,7 +1,7 @@
-"""List every field of the settings with type, range, default and meaning.
+"""Table of all settings with type, range, default and meaning.
 
 The meaning is the string under the field in ``settings``, so that the reference page
-cannot say anything else than the code.
+cannot differ from the code.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 @dataclass(frozen=True)
 class SettingRow:
-    """Hold one field of the settings."""
+    """One field of the settings."""
 
     path: str
-    """Such as ``listen.port``."""
+    """Path of the field, such as ``listen.port``."""
     type: str
     allowed: str
     """The range, as text; empty for any value of the type."""
     default: str
-    """Empty for a field that must be given."""
+    """The default, as text; empty for a required field."""
     meaning: str
 
 
 def setting_rows() -> list[SettingRow]:
-    """Return a row a field, in the order of the classes."""
+    """Return one row per field, in the order of the classes."""
     return list(_rows(RouterSettings, ""))
 
 
--- a/packages/corianderlb-core/tests/test_settings_file.py
+++ b/packages/corianderlb-core/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""A settings file with a mistake is refused with file, line, field and remedy."""
+"""An invalid settings file is refused with file, line, field and allowed values."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "router.yaml"
 
-    def refused(self, text: str, pattern: str) -> None:
+    def assert_refused(self, text: str, pattern: str) -> None:
         self.path.write_text(text)
         with self.assertRaisesRegex(SettingsError, pattern):
             load_settings(self.path)
@@ -41,28 +41,28 @@
         self.assertEqual(cfg.store.timeout_s, 2.0)
 
     def test_wrong_type(self) -> None:
-        self.refused(
+        self.assert_refused(
             GOOD.replace("port: 0", "port: many"),
             r"router.yaml:11: listen.port: Expected `int`, got `str`",
         )
 
     def test_out_of_range(self) -> None:
-        self.refused(
+        self.assert_refused(
             GOOD.replace("port: 0", "port: 70000"), r":11: listen.port: .*65535"
         )
 
     def test_unknown_field(self) -> None:
-        self.refused(
+        self.assert_refused(
             GOOD.replace("  url:", "  uri:"), r":5: store.uri: unknown field.*url"
         )
 
     def test_missing_field(self) -> None:
-        self.refused(GOOD.replace("zone: pnw-a\n", ""), r"missing.*zone")
+        self.assert_refused(GOOD.replace("zone: pnw-a\n", ""), r"missing.*zone")
 
     def test_not_yaml(self) -> None:
-        self.refused("a: [1", "not YAML")
-        self.refused("", "expected a map")
-        self.refused("- 1", "expected a map")
+        self.assert_refused("a: [1", "not YAML")
+        self.assert_refused("", "expected a map")
+        self.assert_refused("- 1", "expected a map")
 
     def test_no_file(self) -> None:
         with self.assertRaisesRegex(SettingsError, "give a readable file"):
--- a/packages/corianderlb-core/tests/test_settings_table.py
+++ b/packages/corianderlb-core/tests/test_settings_table.py
@@ -1,4 +1,4 @@
-"""The reference of settings shows each field as the code checks it."""
+"""The settings table shows each field's range, default and meaning."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
         self.assertIn("shared key", rows["peer.key_file"].meaning)
         self.assertIn("| `listen.port` | int |", to_markdown([rows["listen.port"]]))
 
-    def test_every_field_says_what_it_means(self) -> None:
-        silent = [row.path for row in setting_rows() if not row.meaning]
-        self.assertEqual(silent, [])
+    def test_every_field_has_a_meaning(self) -> None:
+        undocumented = [row.path for row in setting_rows() if not row.meaning]
+        self.assertEqual(undocumented, [])
