--- a/packages/corianderlb-core/src/corianderlb_core/settings.py
+++ b/packages/corianderlb-core/src/corianderlb_core/settings.py
@@ -1,8 +1,8 @@
-"""Settings of a router, written in YAML and checked as a whole before anything starts.
+"""Settings of a router, read from YAML and validated as a whole at startup.
 
-``settings_file`` reads them. A range stands in the annotation of the field, so that the
-check and its message need no code here. Secrets are never in the file: it names files
-that hold them.
+``settings_file`` reads them. The annotation of a field holds its range, from which the
+check and its message are derived. Secrets are not part of the settings, which only name
+the files that contain them.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 """A TCP port; 0 lets the kernel pick one."""
 
 Seconds: TypeAlias = Annotated[float, Meta(gt=0.0, le=86400.0)]
-"""A time above zero and up to a day."""
+"""A positive duration of at most one day."""
 
 Positive: TypeAlias = Annotated[int, Meta(ge=1)]
-"""A number from one on."""
+"""An integer of at least 1."""
 
 Name: TypeAlias = Annotated[str, Meta(pattern="^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
-"""A name of the platform: letters, digits, dot, underscore and hyphen."""
+"""A platform name: letters, digits, dots, underscores and hyphens."""
 
 
 @dataclass(frozen=True)
 class ListenSettings:
-    """Say where callers and peers reach this instance; port 0 lets the kernel pick."""
+    """Addresses on which this instance accepts clients and peers."""
 
     host: str = "127.0.0.1"
     """Address for callers and operators."""
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class StoreSettings:
-    """Say where the platform's object service is."""
+    """Settings of the platform's object service, the store."""
 
     url: str
     """Where the platform's object service answers."""
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """Tune the connections between routers."""
+    """Settings of the connections between routers."""
 
     key_file: str
     """File with the shared key; a router without it cannot join."""
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class OperatorSettings:
-    """Say who may read status and decisions and start a drain."""
+    """Access of operators to status, decisions and draining."""
 
     key_file: str
     """File with the operators' key for the administration paths."""
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class JournalSettings:
-    """Tune the journal of non-repeatable calls; alike on all routers of a fleet."""
+    """Settings of the journal of non-repeatable calls; equal on all routers."""
 
     n_shards: Annotated[int, Meta(ge=1, le=999)] = 4
     """Objects that calls are spread over; change it only while no call runs."""
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True)
 class AdmissionSettings:
-    """Tune limits and waiting; alike on all routers of a fleet."""
+    """Settings of limits and queues; equal on all routers."""
 
     concurrent_per_instance: Annotated[int, Meta(ge=1)] = 64
     """Requests at one upstream instance, over all routers together."""
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True)
 class OrderSettings:
-    """Tune the leases on orders to engines; alike on all routers of a fleet."""
+    """Settings of the leases for orders to engines; equal on all routers."""
 
     lease_s: Seconds = 10.0
     """How long a holder may act without hearing from the store."""
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class PlacementSettings:
-    """Tune how requests are spread over the instances of an upstream."""
+    """Settings of how requests are distributed over the instances of an upstream."""
 
     policy: Literal["default", "round_robin", "least_loaded", "hash_only"] = "default"
     """The default, or a baseline to measure it beside."""
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True)
 class DataPathSettings:
-    """Tune how requests are taken in, relayed and finished."""
+    """Settings of how requests are read, relayed and finished."""
 
     max_body_bytes: Positive = 8 << 20
     """Longest body of a request."""
@@ -196,7 +196,7 @@
 
 @dataclass(frozen=True)
 class CatalogueSettings:
-    """Tune how long a router decides without word that its catalogue is current."""
+    """Settings of how long a router uses a catalogue that may be stale."""
 
     stale_after_s: Seconds = 12.0
     """Seconds without the store and without any peer after which it refuses."""
@@ -204,7 +204,7 @@
 
 @dataclass(frozen=True)
 class RouterSettings:
-    """Hold all settings of one router."""
+    """All settings of one router."""
 
     instance: Name
     """The platform's name of this instance."""
