--- a/packages/corianderlb-core/src/corianderlb_core/settings.py
+++ b/packages/corianderlb-core/src/corianderlb_core/settings.py
@@ -30,9 +30,9 @@
     """Addresses on which this instance accepts clients and peers."""
 
     host: str = "127.0.0.1"
-    """Address for callers and operators."""
+    """Address for clients and operators."""
     port: Port = 8080
-    """Port for callers and operators."""
+    """Port for clients and operators."""
     peer_host: str = "127.0.0.1"
     """Address for other routers."""
     peer_port: Port = 8081
@@ -44,9 +44,9 @@
     """Settings of the platform's object service, the store."""
 
     url: str
-    """Where the platform's object service answers."""
+    """URL of the platform's object service."""
     timeout_s: Seconds = 2.0
-    """Longest wait for one answer of the store."""
+    """Timeout of one request to the store."""
 
 
 @dataclass(frozen=True)
@@ -54,18 +54,18 @@
     """Settings of the connections between routers."""
 
     key_file: str
-    """File with the shared key; a router without it cannot join."""
+    """File with the shared key that routers authenticate each other with."""
     n_peers: Annotated[int, Meta(ge=1, le=64)] = 6
-    """Links to other routers that an instance has about; all when there are few."""
+    """Approximate number of links to other routers; all routers in a small fleet."""
     heartbeat_s: Seconds = 1.0
-    """Time between two heartbeats over a link."""
+    """Interval of heartbeats on a link."""
     silent_after_s: Seconds = 5.0
-    """Silence after which a link counts as dead; several heartbeats long."""
+    """Time without a frame after which a link counts as dead; several heartbeats."""
     suspect_after_s: Seconds = 5.0
-    """How long a router must be out of reach before the others are told."""
+    """Time for which a router must be unreachable before this is announced."""
     seeds: tuple[str, ...] = ()
-    """Peer addresses, as host:port, to try while no link is open. A router that starts
-    while the platform's list cannot be read finds the others by them alone."""
+    """Peer addresses, as host:port, to try while no link is open. They let a router
+    join that starts while the platform's list cannot be read."""
 
 
 @dataclass(frozen=True)
@@ -81,26 +81,29 @@
     """Settings of the journal of non-repeatable calls; equal on all routers."""
 
     n_shards: Annotated[int, Meta(ge=1, le=999)] = 4
-    """Objects that calls are spread over; change it only while no call runs."""
+    """Number of shards of the journal; change it only while no call is in flight."""
     retention_s: Annotated[float, Meta(ge=60.0)] = 86400.0
-    """How long a repeat of a call gets the first answer."""
+    """Time for which a repeat of a call is answered from the journal."""
     seal_bytes: Annotated[int, Meta(ge=1024, le=256 * 1024)] = 128 * 1024
-    """Size from which settled records leave a shard's head for a sealed segment."""
+    """Size of a shard's head above which its settled records are moved to a sealed
+    segment."""
     max_segments: Annotated[int, Meta(ge=1, le=1000)] = 32
-    """Sealed segments a shard may have; a full shard refuses new calls, not run."""
+    """Maximum of sealed segments per shard; a full shard refuses new calls without
+    running them."""
     inline_bytes: Annotated[int, Meta(ge=0, le=2048)] = 1024
-    """Answers up to this size stand in the record; longer ones are own objects."""
+    """Answers up to this size are stored in the record, longer ones as objects."""
     begin_timeout_s: Seconds = 3.0
-    """Longest wait for the store before a call is refused, not run."""
+    """Longest wait for the store before a call is refused without running it."""
     finish_wait_s: Seconds = 1.0
-    """Longest that an answer is held back until it is recorded."""
+    """Longest delay of an answer while it is being recorded."""
     repeat_wait_s: Seconds = 2.0
-    """Longest that a repeat waits for the first run on the same router."""
+    """Longest wait of a repeat for the first run on the same router."""
     owner_grace_s: Seconds = 3.0
-    """How long a call's router may be missing among the peers before the call counts
-    as in doubt."""
+    """Time for which a call's router may be missing from the peers before the call is
+    in doubt."""
     in_doubt_s: Seconds = 120.0
-    """How long a call may run before a repeat is told that its outcome is unknown."""
+    """Time after which a repeat of a running call is answered with an unknown
+    outcome."""
 
 
 @dataclass(frozen=True)
@@ -108,21 +111,24 @@
     """Settings of limits and queues; equal on all routers."""
 
     concurrent_per_instance: Annotated[int, Meta(ge=1)] = 64
-    """Requests at one upstream instance, over all routers together."""
+    """Maximum of concurrent requests per upstream instance, over all routers."""
     max_waiting: Annotated[int, Meta(ge=0)] = 512
-    """Requests that wait for one upstream at most; more are refused at once."""
+    """Maximum of queued requests per upstream; more are refused immediately."""
     standard_wait_s: Seconds = 2.0
-    """Waiting after which standard requests get turns beside urgent ones."""
+    """Queueing time after which standard requests are overdue and are served along
+    with urgent ones."""
     deferrable_wait_s: Seconds = 15.0
-    """Waiting after which deferrable requests get turns beside all others."""
+    """Queueing time after which deferrable requests are overdue and are served along
+    with all others."""
     overdue_every: Annotated[int, Meta(ge=2)] = 4
-    """Every so many turns go to requests that waited so long."""
+    """One in this many admissions goes to an overdue request."""
     grant_valid_s: Seconds = 3.0
-    """How long a router may spend what an entry's home handed out."""
+    """Validity of a grant from the primary router of an entry's limits."""
     grant_burst_s: Seconds = 1.0
-    """Seconds of a rate that an idle entry saves up."""
+    """Burst that an idle entry accumulates, in seconds of its rate limit."""
     grant_answer_s: Seconds = 0.5
-    """How long a home may be silent before a router takes its even share."""
+    """Timeout of a grant request, after which a router uses an even share of the
+    limit."""
 
 
 @dataclass(frozen=True)
@@ -130,13 +136,14 @@
     """Settings of the leases for orders to engines; equal on all routers."""
 
     lease_s: Seconds = 10.0
-    """How long a holder may act without hearing from the store."""
+    """Time for which a holder may act without an answer from the store."""
     margin_s: Seconds = 1.0
-    """How much longer the others wait, for clocks that run unlike."""
+    """Additional wait of the other routers, to allow for clock drift."""
     send_s: Seconds = 2.0
-    """Longest time to send an order and get its answer; below ``lease_s``."""
+    """Timeout of sending an order and receiving its answer; below ``lease_s``."""
     flight_s: Seconds = 5.0
-    """Longest time until an order shows in the engine's report, its lag included."""
+    """Longest time until an order appears in the engine's report, including the
+    report's lag."""
 
 
 @dataclass(frozen=True)
@@ -144,24 +151,24 @@
     """Settings of how requests are distributed over the instances of an upstream."""
 
     policy: Literal["default", "round_robin", "least_loaded", "hash_only"] = "default"
-    """The default, or a baseline to measure it beside."""
+    """Placement policy: the default, or a baseline for comparison."""
     hash_pieces: Annotated[int, Meta(ge=1)] = 1
-    """Pieces of the prompt that ``hash_only`` hashes."""
+    """Number of leading pieces of the prompt that ``hash_only`` hashes."""
     zone_penalty_s: Annotated[float, Meta(ge=0)] = 0.002
-    """What an instance in another zone must be better by."""
+    """Cost in seconds added to instances in another availability zone."""
     report_lag_s: Annotated[float, Meta(ge=0, le=60)] = 0.2
-    """Age that a load report has when it is read."""
+    """Assumed age of a load report when it is read."""
     read_min_s: Seconds = 0.5
-    """Shortest time between two reads of an upstream instance's load."""
+    """Shortest interval of reading an upstream instance's load."""
     read_budget: Annotated[float, Meta(gt=0)] = 1000.0
-    """Bytes a second that reading loads may take; more instances are read less
+    """Bytes per second for reading loads; with more instances, each is read less
     often."""
     gossip_min_s: Seconds = 0.5
-    """Shortest time between two load vectors to the peers."""
+    """Shortest interval of sending load vectors to the peers."""
     gossip_budget: Annotated[float, Meta(gt=0)] = 800.0
-    """Bytes a second that load vectors may take, over all peers."""
+    """Bytes per second for load vectors, over all peers."""
     import_wait_s: Seconds = 1.0
-    """Longest that a request waits for pieces to be imported."""
+    """Longest wait of a request for the import of pieces."""
 
 
 @dataclass(frozen=True)
@@ -169,29 +176,30 @@
     """Settings of how requests are read, relayed and finished."""
 
     max_body_bytes: Positive = 8 << 20
-    """Longest body of a request."""
+    """Maximum size of a request body."""
     max_header_bytes: Positive = 32 << 10
-    """Longest headers of a request, names and values together."""
+    """Maximum size of a request's headers, names and values together."""
     max_answer_bytes: Positive = 8 << 20
-    """Longest answer of a plain service; a longer one is an upstream failure."""
+    """Maximum size of a plain service's answer; a larger one is an upstream failure."""
     default_deadline_s: Seconds = 600.0
-    """For a request that names no deadline of its own."""
+    """Deadline of requests that set none."""
     connect_timeout_s: Seconds = 1.0
-    """Longest time for a connection to an upstream instance."""
+    """Timeout of connecting to an upstream instance."""
     first_event_timeout_s: Seconds = 10.0
-    """Silence allowed before the first event, while the prompt is computed."""
+    """Longest wait for the first event, during prefill."""
     queue_timeout_s: Seconds = 120.0
-    """Longest wait before the first event on an instance that still answers."""
+    """Longest wait for the first event from an instance that still responds."""
     resume_timeout_s: Seconds = 2.0
-    """Silence allowed before the head of the answer to a resume."""
+    """Longest wait for the response headers when resuming a stream."""
     stall_timeout_s: Seconds = 5.0
-    """Silence allowed between two events of a stream."""
+    """Longest wait between two events of a stream."""
     caller_stall_timeout_s: Seconds = 60.0
-    """How long a caller may leave its answer unread."""
+    """Longest time for which a client may not read its response."""
     balancer_lag_s: Annotated[float, Meta(ge=0.0, le=3600.0)] = 5.0
-    """How long the balancer may go on sending after readiness turned."""
+    """Time for which the load balancer may keep sending requests after the router
+    reports that it is not ready."""
     n_decisions: Positive = 2000
-    """Decisions that are kept for ``corianderctl explain``."""
+    """Number of decisions kept for ``corianderctl explain``."""
 
 
 @dataclass(frozen=True)
@@ -199,7 +207,8 @@
     """Settings of how long a router uses a catalogue that may be stale."""
 
     stale_after_s: Seconds = 12.0
-    """Seconds without the store and without any peer after which it refuses."""
+    """Time without contact to the store or any peer after which a router refuses
+    requests."""
 
 
 @dataclass(frozen=True)
@@ -207,7 +216,7 @@
     """All settings of one router."""
 
     instance: Name
-    """The platform's name of this instance."""
+    """Platform name of this instance."""
     zone: Name
     """Its availability zone."""
     region: Name
