--- a/packages/corianderlb-router/src/corianderlb_router/object_feed.py
+++ b/packages/corianderlb-router/src/corianderlb_router/object_feed.py
@@ -1,4 +1,4 @@
-"""The seam to a store whose objects are listed once and then watched."""
+"""Interface to a store whose objects are listed once and then watched."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class HistoryGoneError(StoreError):
-    """Signal a watch from a revision that the store no longer has; list again."""
+    """The store no longer has the history after a watch's revision; list again."""
 
 
 @dataclass(frozen=True)
 class FeedListing:
-    """Hold all objects of a kind as of a revision of the store."""
+    """All objects of a kind at a revision of the store."""
 
     objects: tuple[SharedObject, ...]
     revision: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class FeedChange:
-    """Hold one change: the new object, or that it was removed."""
+    """A new, changed or removed object."""
 
     object: SharedObject
     removed: bool
@@ -33,47 +33,47 @@
 
 @dataclass(frozen=True)
 class FeedChanges:
-    """Hold the changes that a watch saw, oldest first."""
+    """Changes returned by a watch, oldest first."""
 
     changes: tuple[FeedChange, ...]
     revision: int
-    """Where the next watch starts."""
+    """Revision from which the next watch starts."""
 
 
 class ObjectFeed(ABC):
-    """Read the objects of a kind, whole and as they change."""
+    """Lists the objects of a kind and watches them for changes."""
 
     @abstractmethod
     async def list(self, kind: str) -> FeedListing:
-        """Return all objects; raise a ``StoreError`` without an answer."""
+        """Return all objects; raise a ``StoreError`` if the store does not answer."""
 
     @abstractmethod
     async def watch(self, kind: str, revision: int, wait_s: float) -> FeedChanges:
         """Wait for changes after a revision.
 
-        Raise ``HistoryGoneError`` when the store has dropped that history.
+        Raise ``HistoryGoneError`` if the store no longer has the changes after it.
         """
 
 
 @dataclass(frozen=True)
 class NamedWeights:
-    """Hold the newest version of a model's weights."""
+    """The newest version of a model's weights."""
 
     model: str
     version: int
 
 
 class StateDecoder(ABC):
-    """Turn the store's objects into the product's types; None for what is no use."""
+    """Decodes stored objects; returns None for an object that cannot be used."""
 
     @abstractmethod
     def configuration(self, stored: SharedObject) -> ForwardConfiguration | None:
-        """Return a whole configuration."""
+        """Decode a configuration."""
 
     @abstractmethod
     def instance(self, stored: SharedObject) -> ForwardInstance | None:
-        """Return an upstream instance."""
+        """Decode an upstream instance."""
 
     @abstractmethod
     def weights(self, stored: SharedObject) -> NamedWeights | None:
-        """Return the newest version of a model's weights."""
+        """Decode the newest version of a model's weights."""
--- a/packages/corianderlb-router/src/corianderlb_router/serving_state.py
+++ b/packages/corianderlb-router/src/corianderlb_router/serving_state.py
@@ -1,8 +1,7 @@
-"""What this router believes: the configuration, the instances, the named weights.
+"""The serving state of a router: configuration, instances and weights versions.
 
-Everything comes from the store, by this router's own reading or by a peer's, and is
-ordered by the store's revisions alone: whatever is older than what is known is
-dropped, whoever brings it.
+All state originates in the store and is read directly or received from a peer. It is
+ordered by the store's revisions: older state is dropped, whatever its source.
 """
 
 from __future__ import annotations
@@ -21,23 +20,21 @@
 
 from .object_feed import FeedChanges, FeedListing, StateDecoder
 
-LAPSE_S: Final = 2.2
-"""How long after the store's return a missing entry still counts. While the store was
-away its entries lapsed; live instances write theirs again within two seconds."""
+EXPIRY_GRACE_S: Final = 2.2
+"""Seconds after a store outage during which missing entries are kept. Entries expire
+during the outage, and live instances need two seconds to write theirs again."""
 
-AWAY_S: Final = 0.3
-"""A store that did not answer for less than this was not away: entries cannot have
-lapsed meanwhile."""
+MIN_OUTAGE_S: Final = 0.3
+"""Shortest outage in seconds during which entries of the store can expire."""
 
-
-STEADY_S: Final = 1.0
-"""How long the store must have answered again to be relied on: twice the time after
-which a call to it is given up."""
+STABLE_AFTER_S: Final = 1.0
+"""Seconds after an outage from which the store counts as reachable: twice the timeout
+of a call."""
 
 
 @dataclass
 class Table:
-    """Hold the objects of one kind."""
+    """The objects of one kind and how recent they are."""
 
     kind: str
     objects: dict[str, SharedObject] = field(default_factory=dict)
@@ -46,150 +43,153 @@
     changed_at: int = 0
     """The store's revision of the newest change."""
     read_at: float = float("-inf")
-    """Router's clock up to which the store has told all of this kind."""
+    """Time up to which this router has read all changes from the store."""
     confirmed_at: float = float("-inf")
-    """The same, or when a peer that reads the store knew of nothing newer."""
+    """The same, or the latest time at which a peer that reads the store had nothing
+    newer."""
 
     def confirm(self, as_of: float) -> None:
-        """Take note that the store has told all of this kind up to a moment."""
+        """Record that all changes up to ``as_of`` have been read from the store."""
         self.read_at = max(self.read_at, as_of)
         self.confirmed_at = max(self.confirmed_at, as_of)
 
 
 class ServingState:
-    """Hold the tables and what is decoded from them."""
+    """Tables of stored objects and the values decoded from them."""
 
     def __init__(
         self, decoder: StateDecoder, configuration: str, instances: str, weights: str
     ) -> None:
         self._decoder = decoder
         self.kinds: Final = (configuration, instances, weights)
-        """The store's names of the three kinds."""
+        """Names of the three kinds in the store."""
         self.tables: Final = {kind: Table(kind) for kind in self.kinds}
         self.configuration_kind: Final = configuration
         self.instances_kind: Final = instances
         self.weights_kind: Final = weights
         self.configuration: ForwardConfiguration | None = None
-        """What is in force here."""
+        """The configuration in force on this router."""
         self.configuration_since = 0.0
-        """Router's clock when it came into force here."""
+        """Time at which it came into force on this router."""
         self._instances: dict[str, ForwardInstance] = {}
         self._by_upstream: dict[str, list[ForwardInstance]] = {}
         self._leaving: dict[tuple[str, int], None] = {}
         self._named: dict[str, NamedVersions] = {}
         """By model."""
-        self._named_news_at: dict[str, float] = {}
-        """By model: when a version newer than those before became known here."""
+        self._newer_version_at: dict[str, float] = {}
+        """By model: when this router learned of the newest version."""
         self._unchanged_at: float | None = None
-        """While something is taken: when the store last showed here that it was not
-        so; None when it has only just changed."""
+        """While changes are applied: the latest time at which they had not happened
+        yet; None when they have only just happened."""
         self._store_lost_at: float | None = None
         self._store_answered_at = float("-inf")
         self._store_back_at = float("-inf")
         self._first_listed_at: float | None = None
-        """When this router first read the instances from the store."""
+        """Time of this router's first read of the instances."""
         self.changed = trio.Event()
-        """Set, and replaced, at each change of anything."""
+        """Set, and replaced by a new event, at each change."""
 
     @property
     def is_complete(self) -> bool:
-        """Whether there is enough to serve: a configuration and a list of instances."""
+        """Whether both a configuration and a list of instances are known."""
         instances = self.tables[self.instances_kind]
         return self.configuration is not None and instances.revision > 0
 
     def is_confirmed(self, within_s: float) -> bool:
-        """Return whether the store or a peer lately confirmed the configuration."""
+        """Return whether the configuration was confirmed in the last ``within_s``."""
         at = self.tables[self.configuration_kind].confirmed_at
         return trio.current_time() - at <= within_s
 
     def instances(self, upstream: str) -> Sequence[ForwardInstance]:
-        """Return the instances of an upstream that may get new work."""
+        """Return the instances of an upstream that accept new requests."""
         return self._by_upstream.get(upstream, ())
 
     def instance(self, name: str) -> ForwardInstance | None:
-        """Return an instance by its name, leaving ones included."""
+        """Return an instance by name, including one that is leaving."""
         return self._instances.get(name)
 
     def may_take_work(self, instance: ForwardInstance) -> bool:
-        """Return whether a life of an instance is still listed and not leaving."""
+        """Return whether an incarnation is still listed and not leaving."""
         known = self._instances.get(instance.instance)
         if known is None or known.life != instance.life or known.is_leaving:
             return False
         return instance.life not in self._leaving
 
     def newest_weights(self, model: str) -> int:
-        """Return the newest version of a model; 0 when none was named."""
+        """Return the newest weights version of a model, or 0 when none is known."""
         named = self._named.get(model)
         return named.newest if named else 0
 
     def replaced_at(self, model: str, version: int) -> float:
-        """Return when a version was replaced, by the router's clock.
+        """Return the time at which a version was replaced; infinite for the newest.
 
-        That is when the first newer one was named, or can have been named at the
-        earliest while no router is known to have seen it. Infinite for the newest.
+        This is when the first newer version was published, or the earliest possible
+        time when no router is known to have observed it.
         """
         named = self._named.get(model)
         return named.replaced_at(version) if named else math.inf
 
     def mark_leaving(self, instance: ForwardInstance, reason: str) -> None:
-        """Stop new work to a life of an instance before its entry says so."""
+        """Stop new requests to an incarnation before its entry shows it as leaving."""
         if instance.life not in self._leaving:
-            self._note_leaving(instance.life, reason)
+            self._record_leaving(instance.life, reason)
             self._rebuild_instances()
 
-    # How the store speaks, or does not.
+    # Availability of the store.
 
     def store_lost(self, since: float) -> None:
-        """Take note that the store has not answered since an answer was due."""
+        """Record that an answer of the store has been due since ``since``."""
         if self._store_lost_at is None:
             self._store_lost_at = max(since, self._store_answered_at)
             eliot.log_message(message_type="store:lost")
 
-    def store_answered(self) -> None:
-        """Take note of an answer of the store."""
+    def record_store_answer(self) -> None:
+        """Record that the store answered, which ends an outage."""
         now = self._store_answered_at = trio.current_time()
         if self._store_lost_at is None:
             return
         away_s = now - self._store_lost_at
         self._store_lost_at = None
-        if away_s >= AWAY_S:
+        if away_s >= MIN_OUTAGE_S:
             self._store_back_at = now
         eliot.log_message(message_type="store:regained", away_s=round(away_s, 3))
 
     @property
     def is_store_lost(self) -> bool:
-        """Whether the store did not answer the last call."""
+        """Whether the last call to the store got no answer."""
         return self._store_lost_at is not None
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store has answered for a while.
+        """Whether the store answers and has done so for ``STABLE_AFTER_S``.
 
-        Back for a moment only, it answers others soon as well, and nothing needs to be
-        taken over from them.
+        A store that has only just returned will soon answer the other routers too, so
+        no work has to be taken over from them.
         """
         now = trio.current_time()
-        return self._store_lost_at is None and now - self._store_back_at >= STEADY_S
+        return (
+            self._store_lost_at is None and now - self._store_back_at >= STABLE_AFTER_S
+        )
 
     @property
-    def may_lack_lapsed(self) -> bool:
-        """Whether entries may be missing that lapsed before this router started."""
+    def may_lack_expired_entries(self) -> bool:
+        """Whether entries that expired before this router started may be missing."""
         first_at = self._first_listed_at
-        return first_at is not None and trio.current_time() - first_at < LAPSE_S
+        return first_at is not None and trio.current_time() - first_at < EXPIRY_GRACE_S
 
     @property
     def settles_at(self) -> float:
-        """When entries that are missing after the store's return count as gone."""
-        return self._store_back_at + LAPSE_S
+        """Time from which entries missing after a store outage count as removed."""
+        return self._store_back_at + EXPIRY_GRACE_S
 
-    # What is told.
+    # Updates.
 
     def apply_listing(
         self, kind: str, listing: FeedListing, as_of: float | None = None
     ) -> None:
-        """Take a whole list that this router read from the store.
+        """Apply a complete list that this router read from the store.
 
-        ``as_of`` is the moment up to which it tells all, now by default.
+        ``as_of`` is the time up to which the list is complete, now by default.
         """
         table = self.tables[kind]
         self._unchanged_at = table.read_at
@@ -212,22 +212,22 @@
     def apply_changes(
         self,
         kind: str,
-        told: FeedChanges,
+        update: FeedChanges,
         as_of: float | None = None,
         unchanged_at: float | None = None,
     ) -> None:
-        """Take what a watch of this router saw.
+        """Apply the changes that a watch of this router returned.
 
-        ``as_of`` is the moment up to which it tells all, now by default;
-        ``unchanged_at`` one at which nothing of it had happened yet, None when it has
-        only just happened.
+        ``as_of`` is the time up to which the changes are complete, now by default;
+        ``unchanged_at`` a time at which none of them had happened yet, or None when
+        they have only just happened.
         """
         table = self.tables[kind]
         self._unchanged_at = unchanged_at
         table.confirm(trio.current_time() if as_of is None else as_of)
         changed: dict[str, SharedObject] = {}
         removed: dict[str, None] = {}
-        for change in told.changes:
+        for change in update.changes:
             name = change.object.name
             if change.removed:
                 changed.pop(name, None)
@@ -238,7 +238,7 @@
         gone = list(removed)
         if kind == self.instances_kind and trio.current_time() < self.settles_at:
             gone = [name for name in gone if self._is_leaving(name)]
-        self._apply(table, list(changed.values()), gone, told.revision)
+        self._apply(table, list(changed.values()), gone, update.revision)
 
     def apply_peer(
         self,
@@ -247,19 +247,19 @@
         objects: Iterable[SharedObject],
         as_of: float | None = None,
     ) -> bool:
-        """Take a peer's whole table if it is newer; return whether it was.
+        """Apply a peer's complete table if it is newer; return whether it was.
 
-        ``as_of`` is when the peer is known to have had it confirmed, if at all.
+        ``as_of`` is the time at which the peer had it confirmed, if known.
         """
         table = self.tables.get(kind)
         if table is None or revision <= table.revision:
             return False
-        told = {stored.name: stored for stored in objects}
+        received = {stored.name: stored for stored in objects}
         self._unchanged_at = table.read_at
-        missing = [name for name in table.objects if name not in told]
+        missing = [name for name in table.objects if name not in received]
         changed = [
             stored
-            for stored in told.values()
+            for stored in received.values()
             if self._revision(table, stored.name) < stored.revision
         ]
         self._apply(table, changed, missing, revision)
@@ -268,7 +268,7 @@
         return True
 
     def confirm(self, kind: str, as_of: float) -> None:
-        """Take note that a peer knew of nothing newer at a moment."""
+        """Record that a peer had nothing newer at ``as_of``."""
         table = self.tables[kind]
         table.confirmed_at = max(table.confirmed_at, as_of)
 
@@ -307,14 +307,14 @@
     ) -> None:
         if kind == self.configuration_kind:
             for stored in changed:
-                self._take_configuration(stored)
+                self._apply_configuration(stored)
         elif kind == self.instances_kind:
-            self._take_instances(changed, removed)
+            self._apply_instances(changed, removed)
         else:
             for stored in changed:
-                self._take_weights(stored)
+                self._apply_weights(stored)
 
-    def _take_configuration(self, stored: SharedObject) -> None:
+    def _apply_configuration(self, stored: SharedObject) -> None:
         decoded = self._decoder.configuration(stored)
         known = self.configuration
         if decoded is None or (known and decoded.revision <= known.revision):
@@ -329,7 +329,7 @@
             n_accounts=len(decoded.accounts),
         )
 
-    def _take_instances(
+    def _apply_instances(
         self, changed: Sequence[SharedObject], removed: Sequence[str]
     ) -> None:
         for name in removed:
@@ -352,10 +352,10 @@
                 )
             self._instances[stored.name] = decoded
             if decoded.is_leaving:
-                self._note_leaving(decoded.life, "entry")
+                self._record_leaving(decoded.life, "entry")
         self._rebuild_instances()
 
-    def _note_leaving(self, life: tuple[str, int], reason: str) -> None:
+    def _record_leaving(self, life: tuple[str, int], reason: str) -> None:
         if life in self._leaving:
             return
         self._leaving[life] = None
@@ -371,12 +371,13 @@
     def _rebuild_instances(self) -> None:
         by_upstream: dict[str, list[ForwardInstance]] = {}
         for known in self._instances.values():
-            # An older entry cannot bring back what has once said that it leaves.
+            # An incarnation that was marked as leaving stays so, even if a late or
+            # older entry shows it as ready.
             if not known.is_leaving and known.life not in self._leaving:
                 by_upstream.setdefault(known.upstream, []).append(known)
         self._by_upstream = by_upstream
 
-    def _take_weights(self, stored: SharedObject) -> None:
+    def _apply_weights(self, stored: SharedObject) -> None:
         decoded = self._decoder.weights(stored)
         if decoded is None or decoded.version <= self.newest_weights(decoded.model):
             return
@@ -385,46 +386,46 @@
             at, is_exact = trio.current_time(), True
         after = self.newest_weights(decoded.model)
         naming = Naming(decoded.version, at, after, is_exact)
-        self._note_naming(decoded.model, naming, "store")
+        self._record_naming(decoded.model, naming, "store")
 
     def saw_weights(self, model: str, version: int) -> None:
-        """Take note of a version that an engine has shown to have.
+        """Record a weights version reported by an engine.
 
-        It was named then. A router that missed the naming would else take engines that
-        are behind for good as long as it hears of nothing newer.
+        The version must have been published. Without this, a router that missed the
+        announcement would treat engines with older weights as up to date.
         """
         newest = self.newest_weights(model)
         if version > newest:
             at = self.tables[self.weights_kind].read_at
             naming = Naming(version, at, newest, is_exact=False)
-            self._note_naming(model, naming, "engine")
+            self._record_naming(model, naming, "engine")
 
-    def hear_named(self, told: Iterable[NamedAge], asked_at: float) -> None:
-        """Take a peer's answer on how long ago versions were named."""
-        for word in told:
-            naming = Naming(word.version, asked_at - word.age_ms / 1000, word.after)
-            self._note_naming(word.model, naming, "peer")
+    def merge_named_ages(self, ages: Iterable[NamedAge], queried_at: float) -> None:
+        """Merge a peer's answer on how long ago versions were published."""
+        for age in ages:
+            naming = Naming(age.version, queried_at - age.age_ms / 1000, age.after)
+            self._record_naming(age.model, naming, "peer")
 
     def named_ages(self) -> tuple[NamedAge, ...]:
-        """Return what peers may need to know of versions that were named of late."""
+        """Return the ages of recently published versions, for peers."""
         now = trio.current_time()
         return tuple(
             NamedAge(
                 model, naming.version, round((now - naming.at) * 1000), naming.after
             )
             for model, named in self._named.items()
-            for naming in named.exact(now - TOLD_FOR_S)
+            for naming in named.exact(now - NAMED_AGE_TTL_S)
         )
 
-    def _note_naming(self, model: str, naming: Naming, source: str) -> None:
+    def _record_naming(self, model: str, naming: Naming, source: str) -> None:
         named = self._named.setdefault(model, NamedVersions())
         was_exact = named.is_newest_exact
-        is_news = naming.version > named.newest
+        is_newer = naming.version > named.newest
         if not named.note(naming):
             return
-        if is_news:
-            self._named_news_at[model] = trio.current_time()
-        if is_news or was_exact != named.is_newest_exact:
+        if is_newer:
+            self._newer_version_at[model] = trio.current_time()
+        if is_newer or was_exact != named.is_newest_exact:
             age_s = trio.current_time() - naming.at
             eliot.log_message(
                 message_type="weights:named",
@@ -436,23 +437,24 @@
             )
 
     @property
-    def seeks_ages_for_s(self) -> float | None:
-        """For how long peers may have known better how old replaced weights are.
+    def ages_unknown_for_s(self) -> float | None:
+        """Seconds since the newest version with an inexact age became known.
 
-        None when they cannot, or would have forgotten.
+        Peers may know the exact age. None when all ages are exact, or when peers no
+        longer announce the missing ones.
         """
         now = trio.current_time()
         for_s = [
-            now - self._named_news_at[model]
+            now - self._newer_version_at[model]
             for model, named in self._named.items()
             if not named.is_newest_exact
         ]
-        return min((found for found in for_s if found < TOLD_FOR_S), default=None)
+        return min((found for found in for_s if found < NAMED_AGE_TTL_S), default=None)
 
 
-TOLD_FOR_S: Final = 60.0
-"""How long peers are told when a version was named: several times the longest bound on
-answers from replaced weights."""
+NAMED_AGE_TTL_S: Final = 60.0
+"""Seconds for which the age of a version is announced to peers: several times the
+longest bound on answers from replaced weights."""
 
 MAX_LEAVING: Final = 4096
-"""Lives remembered as leaving; the oldest are long gone."""
+"""Limit of incarnations recorded as leaving; the oldest are dropped first."""
--- a/packages/corianderlb-router/src/corianderlb_router/state_follower.py
+++ b/packages/corianderlb-router/src/corianderlb_router/state_follower.py
@@ -1,4 +1,4 @@
-"""Keep the serving state close to the store, and close to the peers without it."""
+"""Synchronisation of the serving state with the store and with peers."""
 
 from __future__ import annotations
 
@@ -18,76 +18,76 @@
 from .store import StoreError
 
 WATCH_S: Final = 3.0
-"""How long a watch waits. Each one is a call that is paid for: with one second, a
-router made 270 calls in a minute without any news. Dead connections show by probes of
-the kernel, and a store that holds the watch back shows by the peers' offers."""
+"""Seconds that a watch waits; each watch is a billed call. Dead connections are
+detected by kernel keepalive probes, and a store that withholds the answer by the
+offers of peers."""
 
 RETRY_S: Final = 0.15
 MAX_RETRY_S: Final = 0.6
-"""First and longest mean pause after a failed call to the store."""
+"""First and longest mean delay after a failed call to the store."""
 
 OFFER_S: Final = 1.0
-"""Pause between two offers to the peers."""
+"""Seconds between two offers to peers."""
 
 LONG_OFFER_S: Final = 3.0
-"""The same in a large fleet, where some peer's offer comes several times a second."""
+"""The same in a large fleet, where offers arrive several times a second."""
 
-MIN_OFFER_SHARE: Final = 0.8
-"""Least part of that pause: offers of many routers spread."""
+MIN_OFFER_FACTOR: Final = 0.8
+"""Smallest random factor of that interval, which spreads the offers of routers."""
 
-SEEK_OFFER_S: Final = 0.15
-"""The same of a router that has just come to lack the age of replaced weights: until it
-learns it, it takes none of them."""
+AGE_QUERY_INTERVAL_S: Final = 0.15
+"""Seconds between offers while the age of replaced weights is unknown. Until then the
+router accepts no answers from them."""
 
-SEEK_S: Final = 3.0
-"""How long it asks that often: some times what it takes to be linked after a start."""
+AGE_QUERY_PHASE_S: Final = 3.0
+"""Seconds for which that shorter interval applies: several times the time to connect to
+peers after a start."""
 
-MAX_ASKS: Final = 64
-"""Questions to peers that may still be answered."""
+MAX_OPEN_QUERIES: Final = 64
+"""Limit of queries to peers that are tracked for an answer."""
 
-UNREAD_S: Final = WATCH_S + 0.2
-"""Age of this router's own reading from which peers are asked whether there is news."""
+QUERY_AFTER_S: Final = WATCH_S + 0.2
+"""Age of this router's last read from which peers are queried for newer state."""
 
-GROUP_S: Final = 0.02
-"""Time in which further changes join one offer."""
+COALESCE_S: Final = 0.02
+"""Seconds during which further changes are combined into one offer."""
 
-ALONE_S: Final = 0.4
-"""Silence of the store after which a peer's newer state is asked for."""
+STORE_SILENT_S: Final = 0.4
+"""Seconds without a read of the store after which a peer's newer state is requested."""
 
-HELD_BACK_S: Final = 0.5
-"""Time beyond its own after which a watch was held back, or this router was paused.
-What it tells may then have happened long before."""
+LATE_ANSWER_S: Final = 0.5
+"""Delay beyond its wait after which a watch's answer counts as late: the store withheld
+it or this router was paused, and its changes may have happened long before."""
 
-CONFIRMED_S: Final = WATCH_S + 1.0
-"""Age of a router's own reading up to which its offers speak for the store: a watch
-and the time that its answer may take."""
+OWN_READ_TTL_S: Final = WATCH_S + 1.0
+"""Age of a router's last read up to which its answers confirm state for peers: the wait
+of a watch plus the time of its answer."""
 
-BEHIND_S: Final = 0.4
-"""How long a peer may know of something newer before it is asked for, although the
-store seems to answer: a watch tells within a tenth of it."""
+PEER_AHEAD_GRACE_S: Final = 0.4
+"""Seconds that a peer may be ahead before its state is requested while the store seems
+to answer; a watch normally returns the change first."""
 
-ASK_AGAIN_S: Final = 0.4
-"""Least time between two requests for one kind."""
+REQUEST_INTERVAL_S: Final = 0.4
+"""Shortest interval between two requests for one kind."""
 
 LONG_WATCH_S: Final = 12.0
-"""The same in a large fleet. At any moment some peer has read the store within the last
-second and tells so, and of changes that a silent store holds back from others."""
+"""Seconds that a watch waits in a large fleet. Peers that have read the store within
+the last second confirm the state and announce changes withheld from other routers."""
 
 LARGE_FLEET: Final = 12
-"""Routers from which a fleet counts as large: with watches of 12 s one of them then
-reads the store each second."""
+"""Number of routers from which a fleet counts as large: with ``LONG_WATCH_S`` one of
+them reads the store each second."""
 
-GATHER_S_PER_ROUTER: Final = 0.015
-MAX_GATHER_S: Final = 0.5
-"""Pause after a change of instances until they are watched again, for each router of
-the fleet and at most. Each change ends a watch of every router: with 50 engines that
-load weights in turn, 31 routers made 8,200 calls in 50 s, most of them for one entry.
-Peers that knew sooner are not asked meanwhile, and work that reaches an instance half
-a second after it began to leave is served."""
+REWATCH_DELAY_S_PER_ROUTER: Final = 0.015
+MAX_REWATCH_DELAY_S: Final = 0.5
+"""Delay after a change of instances until they are watched again: seconds per router of
+the fleet, and the maximum. Each change ends the watch of every router, so without the
+delay a series of changes costs one call per router and change. Instances still serve
+requests that arrive within the delay after they began to leave."""
 
 
 class StateFollower:
-    """Run a task for each kind of object, and exchange state with peers."""
+    """Follows each kind of object in the store and exchanges state with peers."""
 
     def __init__(
         self,
@@ -100,12 +100,12 @@
         self._state = state
         self._peers = peers
         self._rng = rng
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
         self._behind_since: dict[str, float] = {}
         self._pauses = PauseWatch()
-        self._asks: dict[int, float] = {}
-        """By number: when peers were asked."""
-        self._n_asks = 0
+        self._queries: dict[int, float] = {}
+        """By query number: when the query was sent."""
+        self._n_queries = 0
         self._due_at: dict[str, float] = {}
         """By kind: when the store's next answer is due."""
         peers.subscribe(StateOffer, self.on_state_offer)
@@ -119,7 +119,7 @@
             nursery.start_soon(self._pauses.run)
             for kind in self._state.kinds:
                 nursery.start_soon(self._follow, kind)
-            nursery.start_soon(self._keep_offering)
+            nursery.start_soon(self._run_offers)
 
     async def _follow(self, kind: str) -> None:
         n_failed = 0
@@ -133,47 +133,47 @@
                     must_list = False
                     if trio.current_time() >= settles_at:
                         settled_until = settles_at
-                has_news = await self._watch(kind)
+                has_changes = await self._watch(kind)
                 n_failed = 0
-                if has_news and kind == self._state.instances_kind:
-                    await trio.sleep(self._gather_s())
+                if has_changes and kind == self._state.instances_kind:
+                    await trio.sleep(self._rewatch_delay_s())
             except HistoryGoneError:
                 must_list = True
                 eliot.log_message(message_type="store:history_gone", kind=kind)
             except StoreError:
                 self._state.store_lost(min(trio.current_time(), self._due_at[kind]))
-                # A store that lost its state of mind may also have lost the watch's
-                # place: a list costs little and settles what was missed.
+                # The store may have lost the position of the watch; a full list
+                # recovers the changes that were missed.
                 n_failed += 1
                 must_list = True
-                await trio.sleep(self._pause(n_failed))
+                await trio.sleep(self._retry_delay_s(n_failed))
 
     async def _list(self, kind: str) -> None:
         started_at = self._due_at[kind] = trio.current_time()
         listing: FeedListing = await self._feed.list(kind)
-        self._state.store_answered()
+        self._state.record_store_answer()
         self._state.apply_listing(kind, listing, started_at)
 
     async def _watch(self, kind: str) -> bool:
         """Wait for changes of a kind; return whether there were any."""
         table = self._state.tables[kind]
         wait_s = self._watch_s()
-        left_s = self._state.settles_at - trio.current_time()
-        if left_s > 0:
-            wait_s = max(0.1, min(wait_s, left_s))
+        remaining_s = self._state.settles_at - trio.current_time()
+        if remaining_s > 0:
+            wait_s = max(0.1, min(wait_s, remaining_s))
         started_at = trio.current_time()
         self._due_at[kind] = started_at + wait_s
-        told = await self._feed.watch(kind, table.revision, wait_s)
+        update = await self._feed.watch(kind, table.revision, wait_s)
         arrived_at = self._pauses.arrived_after()
-        is_held_back = arrived_at - table.read_at > wait_s + HELD_BACK_S
-        unchanged_at = table.read_at if is_held_back else arrived_at
-        in_time = not (is_held_back or self._pauses.has_just_woken)
-        as_of = unchanged_at if told.changes else min(started_at + wait_s, arrived_at)
-        self._state.store_answered()
+        is_late = arrived_at - table.read_at > wait_s + LATE_ANSWER_S
+        unchanged_at = table.read_at if is_late else arrived_at
+        in_time = not (is_late or self._pauses.has_just_woken)
+        as_of = unchanged_at if update.changes else min(started_at + wait_s, arrived_at)
+        self._state.record_store_answer()
         self._state.apply_changes(
-            kind, told, max(started_at, as_of), None if in_time else unchanged_at
+            kind, update, max(started_at, as_of), None if in_time else unchanged_at
         )
-        return bool(told.changes)
+        return bool(update.changes)
 
     def _watch_s(self) -> float:
         return LONG_WATCH_S if self._is_large_fleet else WATCH_S
@@ -182,28 +182,32 @@
     def _is_large_fleet(self) -> bool:
         return len(self._peers.members()) >= LARGE_FLEET
 
-    def _gather_s(self) -> float:
-        return min(MAX_GATHER_S, GATHER_S_PER_ROUTER * len(self._peers.members()))
+    def _rewatch_delay_s(self) -> float:
+        return min(
+            MAX_REWATCH_DELAY_S, REWATCH_DELAY_S_PER_ROUTER * len(self._peers.members())
+        )
 
-    def _pause(self, n_failed: int) -> float:
+    def _retry_delay_s(self, n_failed: int) -> float:
         longest = min(MAX_RETRY_S, RETRY_S * 2 ** (n_failed - 1))
         return longest * self._rng.uniform(0.5, 1.5)
 
-    # Peers.
+    # Exchange with peers.
 
-    async def _keep_offering(self) -> None:
+    async def _run_offers(self) -> None:
         while True:
             changed = self._state.changed
             self._peers.broadcast(self._offer())
             with trio.move_on_after(
-                self._offer_s() * self._rng.uniform(MIN_OFFER_SHARE, 1.2)
+                self._offer_s() * self._rng.uniform(MIN_OFFER_FACTOR, 1.2)
             ):
                 await changed.wait()
-                # Changes come in groups; one offer tells of all of them.
-                await trio.sleep(max(GROUP_S, self._gather_s() / 2))
+                # Combine changes that follow each other into one offer.
+                await trio.sleep(max(COALESCE_S, self._rewatch_delay_s() / 2))
 
     def _offer(self) -> StateOffer:
-        return StateOffer(self._revisions(), self._ask() if self._may_ask() else 0)
+        return StateOffer(
+            self._revisions(), self._open_query() if self._may_query() else 0
+        )
 
     def _revisions(self) -> tuple[tuple[str, int], ...]:
         tables = self._state.tables
@@ -211,43 +215,44 @@
 
     @property
     def _is_confirmed(self) -> bool:
-        """Whether this router itself has lately read the store."""
+        """Whether this router has recently read the store itself."""
         read_at = self._state.tables[self._state.configuration_kind].read_at
-        return trio.current_time() - read_at < CONFIRMED_S
+        return trio.current_time() - read_at < OWN_READ_TTL_S
 
-    def _may_ask(self) -> bool:
-        """Return whether an offer should ask what peers may know and this router not.
+    def _may_query(self) -> bool:
+        """Return whether the next offer should include a query.
 
-        Each linked peer answers, and offers come at each change as well.
+        Queries are limited by interval because every linked peer answers, and offers
+        are also sent at each change.
         """
         now = trio.current_time()
-        pause_s = MIN_OFFER_SHARE * self._offer_s()
-        if now - self._asks.get(self._n_asks, float("-inf")) < pause_s:
+        pause_s = MIN_OFFER_FACTOR * self._offer_s()
+        if now - self._queries.get(self._n_queries, float("-inf")) < pause_s:
             return False
-        if self._state.seeks_ages_for_s is not None:
+        if self._state.ages_unknown_for_s is not None:
             return True
         read_at = min(table.read_at for table in self._state.tables.values())
-        return now - read_at > UNREAD_S
+        return now - read_at > QUERY_AFTER_S
 
-    def _ask(self) -> int:
-        """Return the number of a new question to peers."""
-        self._n_asks += 1
-        self._asks[self._n_asks] = trio.current_time()
-        self._asks.pop(self._n_asks - MAX_ASKS, None)
-        return self._n_asks
+    def _open_query(self) -> int:
+        """Register a new query to peers and return its number."""
+        self._n_queries += 1
+        self._queries[self._n_queries] = trio.current_time()
+        self._queries.pop(self._n_queries - MAX_OPEN_QUERIES, None)
+        return self._n_queries
 
     def _offer_s(self) -> float:
-        seeks_for_s = self._state.seeks_ages_for_s
-        if seeks_for_s is not None and seeks_for_s < SEEK_S:
-            return SEEK_OFFER_S
+        unknown_for_s = self._state.ages_unknown_for_s
+        if unknown_for_s is not None and unknown_for_s < AGE_QUERY_PHASE_S:
+            return AGE_QUERY_INTERVAL_S
         return LONG_OFFER_S if self._is_large_fleet else OFFER_S
 
     async def on_state_offer(self, sender: InstanceId, offer: StateOffer) -> None:
-        """Ask for a peer's newer state while the store is out of reach."""
+        """Answer a peer's query, and request its state if this router is behind."""
         if offer.ask:
             self._peers.send(sender, self._answer(offer.ask))
         now = trio.current_time()
-        wanted = []
+        outdated_kinds = []
         for kind, revision in offer.revisions:
             table = self._state.tables.get(kind)
             if table is None:
@@ -256,16 +261,21 @@
                 self._behind_since.pop(kind, None)
                 continue
             behind_since = self._behind_since.setdefault(kind, now)
-            is_read = now - table.read_at < ALONE_S or not self._state.is_store_lost
-            if is_read and now - behind_since < BEHIND_S + self._gather_s():
+            is_store_reachable = (
+                now - table.read_at < STORE_SILENT_S or not self._state.is_store_lost
+            )
+            if (
+                is_store_reachable
+                and now - behind_since < PEER_AHEAD_GRACE_S + self._rewatch_delay_s()
+            ):
                 continue
-            if now - self._asked_at.get(kind, float("-inf")) >= ASK_AGAIN_S:
-                self._asked_at[kind] = now
-                wanted.append(kind)
-        if wanted:
+            if now - self._requested_at.get(kind, float("-inf")) >= REQUEST_INTERVAL_S:
+                self._requested_at[kind] = now
+                outdated_kinds.append(kind)
+        if outdated_kinds:
             instances = self._state.tables[self._state.instances_kind]
             knows_none = not instances.revision
-            req = StateRequest(tuple(wanted), self._ask(), knows_none)
+            req = StateRequest(tuple(outdated_kinds), self._open_query(), knows_none)
             self._peers.send(sender, req)
 
     def _answer(self, ask: int) -> StateAnswer:
@@ -273,48 +283,54 @@
         return StateAnswer(ask, self._revisions(), self._is_confirmed, named)
 
     def _is_known(self, kind: str, revision: int) -> bool:
-        """Return whether a peer's revision of a kind is no news."""
+        """Return whether this router's state is at least as new as a peer's."""
         table = self._state.tables.get(kind)
         return table is not None and revision <= max(table.changed_at, table.revision)
 
-    async def on_state_answer(self, sender: InstanceId, told: StateAnswer) -> None:
-        """Take a peer's answer, which counts from the question."""
-        asked_at = self._asks.get(told.ask)
-        if asked_at is None:
+    async def on_state_answer(self, sender: InstanceId, answer: StateAnswer) -> None:
+        """Apply a peer's answer, which is valid as of the time of the query."""
+        queried_at = self._queries.get(answer.ask)
+        if queried_at is None:
             return
-        if told.is_confirmed:
-            for kind, revision in told.revisions:
+        if answer.is_confirmed:
+            for kind, revision in answer.revisions:
                 if self._is_known(kind, revision):
-                    self._state.confirm(kind, asked_at)
-        if not self._pauses.has_woken_since(asked_at):
-            self._state.hear_named(told.named, asked_at)
+                    self._state.confirm(kind, queried_at)
+        if not self._pauses.has_woken_since(queried_at):
+            self._state.merge_named_ages(answer.named, queried_at)
 
     async def on_state_request(self, sender: InstanceId, req: StateRequest) -> None:
-        """Answer with the objects of the kinds asked for.
+        """Send the objects of the requested kinds.
 
-        A router that started while entries were missing does not know that they had
-        lapsed, and gives its list only to those that have none.
+        A router that started during a store outage cannot tell expired entries from
+        removed ones, so it sends its instances only to peers that know none.
         """
         for kind in req.kinds:
             table = self._state.tables.get(kind)
             if table is None or not table.revision:
                 continue
-            is_doubtful = kind == self._state.instances_kind and not req.knows_none
-            if is_doubtful and self._state.may_lack_lapsed:
+            may_be_incomplete = (
+                kind == self._state.instances_kind and not req.knows_none
+            )
+            if may_be_incomplete and self._state.may_lack_expired_entries:
                 continue
             objects = tuple(table.objects.values())
-            told = StateObjects(
+            reply = StateObjects(
                 kind, table.revision, objects, req.ask, self._is_confirmed
             )
-            self._peers.send(sender, told)
+            self._peers.send(sender, reply)
 
-    async def on_state_objects(self, sender: InstanceId, told: StateObjects) -> None:
-        """Take a peer's state if it is newer than what is known here."""
-        as_of = self._asks.get(told.ask) if told.is_confirmed else None
-        if self._state.apply_peer(told.kind, told.revision, told.objects, as_of):
+    async def on_state_objects(
+        self, sender: InstanceId, received: StateObjects
+    ) -> None:
+        """Apply a peer's state if it is newer than this router's."""
+        as_of = self._queries.get(received.ask) if received.is_confirmed else None
+        if self._state.apply_peer(
+            received.kind, received.revision, received.objects, as_of
+        ):
             eliot.log_message(
                 message_type="state:from_peer",
-                kind=told.kind,
-                revision=told.revision,
+                kind=received.kind,
+                revision=received.revision,
                 peer=sender,
             )
--- a/packages/corianderlb-router/tests/state_builders.py
+++ b/packages/corianderlb-router/tests/state_builders.py
@@ -1,4 +1,4 @@
-"""Routers that follow one store in memory, for tests of their state."""
+"""Builders for routers that follow one in-memory store."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class MemoryStore:
-    """Hold objects with revisions, shared by the feeds of several routers."""
+    """In-memory objects with revisions, shared by the feeds of several routers."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -47,44 +47,44 @@
         self.revision += 1
         stored = SharedObject(name, self.revision, b"")
         self.tables.setdefault(kind, {})[name] = stored
-        self._tell(kind, FeedChange(stored, False))
+        self._record_change(kind, FeedChange(stored, False))
         return stored
 
     def remove(self, kind: str, name: str) -> None:
-        """Take an object away."""
+        """Delete an object."""
         self.revision += 1
         del self.tables[kind][name]
         gone = SharedObject(name, self.revision, b"")
-        self._tell(kind, FeedChange(gone, True))
+        self._record_change(kind, FeedChange(gone, True))
 
     def forget_history(self) -> None:
-        """Drop what happened so far."""
+        """Drop the history of changes so far."""
         self.history.clear()
         self.oldest = self.revision
 
     oldest = 0
 
-    def _tell(self, kind: str, change: FeedChange) -> None:
+    def _record_change(self, kind: str, change: FeedChange) -> None:
         self.history.append((kind, change))
         self.changed.set()
         self.changed = trio.Event()
 
 
 class MemoryFeed(ObjectFeed):
-    """Read a ``MemoryStore`` as one router does."""
+    """Feed of one router from a ``MemoryStore``, with faults."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
         self.is_away = False
         self.is_silent = False
-        """Whether calls get no answer, as from a store that holds them back."""
+        """Whether calls get no answer."""
         self.n_calls = 0
         self.held: trio.Event | None = None
-        """Set when answers that were under way may arrive; None to hold none back."""
+        """Event that delays answers of watches until it is set; None for no delay."""
         self.on_its_way: Callable[[], None] | None = None
-        """Called once while word that no weights were named is on its way."""
+        """Called once before a watch of weights returns its empty answer."""
         self.holds_back_s = 0.0
-        """Time for which news of weights are held back from this router alone."""
+        """Seconds by which changes of weights are delayed for this router alone."""
 
     async def list(self, kind: str) -> FeedListing:
         await self._reach()
@@ -106,19 +106,19 @@
             return FeedChanges(found, self._store.revision)
         if self.is_silent:
             await trio.sleep_forever()
-        told = FeedChanges(self._since(kind, revision), self._store.revision)
+        update = FeedChanges(self._since(kind, revision), self._store.revision)
         if self.held is not None:
             await self.held.wait()
         if kind == WEIGHTS and self.on_its_way is not None:
-            happen, self.on_its_way = self.on_its_way, None
-            happen()
-        return told
+            callback, self.on_its_way = self.on_its_way, None
+            callback()
+        return update
 
     def _since(self, kind: str, revision: int) -> tuple[FeedChange, ...]:
         return tuple(
             change
-            for told_kind, change in self._store.history
-            if told_kind == kind and change.object.revision > revision
+            for changed_kind, change in self._store.history
+            if changed_kind == kind and change.object.revision > revision
         )
 
     async def _reach(self) -> None:
@@ -131,7 +131,7 @@
 
 
 class Router:
-    """Hold one router's state, feed and follower."""
+    """State, feed and follower of one router."""
 
     def __init__(
         self,
@@ -153,7 +153,7 @@
 
 
 class StateCase(TrioTestCase):
-    """Run routers over one store."""
+    """Test case with routers that share one store."""
 
     def publish(self, version: int) -> None:
         """Write a configuration to the store."""
@@ -162,12 +162,12 @@
         self.decoder.table["main", stored.revision] = cfg
 
     def enter(self, name: str) -> None:
-        """Enter an instance in the store."""
+        """Write the entry of an instance to the store."""
         stored = self.store.put(INSTANCES, name)
         self.decoder.table[name, stored.revision] = an_instance(name, "app")
 
     def name_weights(self, version: int) -> None:
-        """Name new weights in the store."""
+        """Publish a new weights version in the store."""
         stored = self.store.put(WEIGHTS, MODEL)
         self.decoder.table[MODEL, stored.revision] = NamedWeights(MODEL, version)
 
@@ -192,7 +192,7 @@
         name: str,
         feed: type[MemoryFeed] = MemoryFeed,
     ) -> Router:
-        """Start one more router, or one that was there under a new life."""
+        """Start another router, or a new incarnation of a stopped one."""
         router = Router(name, self.store, self.hub, self.decoder, feed)
         nursery.start_soon(router.follower.run)
         return router
--- a/packages/corianderlb-router/tests/test_state_age.py
+++ b/packages/corianderlb-router/tests/test_state_age.py
@@ -1,4 +1,4 @@
-"""What a router's knowledge is worth when it reached the router late."""
+"""Age of serving state that reached a router late."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from state_builders import MemoryFeed, Router, StateCase
 
 INSTANCE_NAMES = ("s1", "s2")
-"""Instances that the store lists."""
+"""Instances listed in the store."""
 
 WATCH_GRACE_S = 1.5
-"""How long after its time an unanswered watch counts as lost."""
+"""Seconds after its wait until a watch without an answer fails."""
 
 
-class DeafFeed(MemoryFeed):
-    """Lose the answers of watches that wait while the store falls silent."""
+class AnswerLosingFeed(MemoryFeed):
+    """Loses the answers of watches that are open when the store becomes silent."""
 
     async def watch(self, kind: str, revision: int, wait_s: float) -> FeedChanges:
         with trio.move_on_after(wait_s + WATCH_GRACE_S):
-            told = await super().watch(kind, revision, wait_s)
+            update = await super().watch(kind, revision, wait_s)
             if not self.is_silent:
-                return told
+                return update
             await trio.sleep_forever()
         raise StoreUnavailableError("no answer")
 
@@ -34,14 +34,14 @@
 class StateAgeTest(StateCase):
     @staticmethod
     def names(router: Router) -> set[str]:
-        """Return the instances that may get work."""
+        """Return the instances that accept requests."""
         return {found.instance for found in router.state.instances("app")}
 
-    async def test_silence_of_the_store_that_shows_late(self) -> None:
-        """Guard against an outage that counts from the failure of a call alone."""
+    async def test_outage_detected_late(self) -> None:
+        """Guards against an outage dated only from the failure of a call."""
         async with trio.open_nursery() as nursery:
             self.start(nursery, 0, INSTANCE_NAMES)
-            router = self.start_router(nursery, "r0", DeafFeed)
+            router = self.start_router(nursery, "r0", AnswerLosingFeed)
             await trio.sleep(1)
             router.feed.is_silent = True
             for name in INSTANCE_NAMES:
@@ -53,14 +53,16 @@
             self.assertEqual(self.names(router), {"s1", "s2"})
             nursery.cancel_scope.cancel()
 
-    async def test_peer_that_has_just_started_knows_of_no_lapsed_entries(self) -> None:
-        """Guard against lapsed entries that a restarted peer takes for gone."""
+    async def test_restarted_peer_does_not_share_list_without_expired_entries(
+        self,
+    ) -> None:
+        """Guards against a restarted peer that treats expired entries as removed."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1, INSTANCE_NAMES)
             await trio.sleep(1)
             router.feed.is_away = True
             await trio.sleep(5)
-            # Both entries lapsed, and one instance has already written its own again.
+            # Both entries expired, and one instance has written its own again.
             for name in INSTANCE_NAMES:
                 self.store.remove(INSTANCES, name)
             self.enter("s2")
@@ -69,8 +71,8 @@
             self.assertEqual(self.names(router), {"s1", "s2"})
             nursery.cancel_scope.cancel()
 
-    async def test_peer_that_is_cut_off_confirms_nothing(self) -> None:
-        """Guard against an old configuration that counts as fresh after a restart."""
+    async def test_disconnected_peer_does_not_confirm(self) -> None:
+        """Guards against a stale configuration that counts as fresh after a restart."""
         async with trio.open_nursery() as nursery:
             (peer,) = self.start(nursery, 1, INSTANCE_NAMES)
             await trio.sleep(1)
@@ -83,8 +85,8 @@
             self.assertFalse(router.state.is_confirmed(UNCONFIRMED_S))
             nursery.cancel_scope.cancel()
 
-    async def test_word_of_a_peer_that_was_long_under_way(self) -> None:
-        """Guard against words that lay in a buffer and confirm what has changed."""
+    async def test_delayed_peer_answer_does_not_confirm(self) -> None:
+        """Guards against a delayed answer that confirms a replaced configuration."""
         async with trio.open_nursery() as nursery:
             router, _ = self.start(nursery, 2, INSTANCE_NAMES)
             await trio.sleep(1)
--- a/packages/corianderlb-router/tests/test_state_follower.py
+++ b/packages/corianderlb-router/tests/test_state_follower.py
@@ -1,4 +1,4 @@
-"""How a router keeps up with a store that is away, silent or forgetful."""
+"""Following a store that is unavailable, silent or has dropped its history."""
 
 from __future__ import annotations
 
@@ -29,8 +29,7 @@
             nursery.cancel_scope.cancel()
 
     async def test_router_turned_away_by_the_store_learns_from_a_peer(self) -> None:
-        # The store refuses one router and serves the others and the operator, who
-        # takes a key away. Callers of that router must not use the key on and on.
+        """Guards against a revoked key that works on a router without the store."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             await trio.sleep(1)
@@ -41,9 +40,8 @@
             self.assertEqual([router.version for router in routers], [2, 2])
             nursery.cancel_scope.cancel()
 
-    async def test_watch_that_the_store_holds_back(self) -> None:
-        # The store takes a router's calls and never answers, while others are served.
-        # The watch alone would show it only seconds later.
+    async def test_watch_without_answer(self) -> None:
+        """Guards against a long delay when the store ignores one router's watch."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             await trio.sleep(1)
@@ -54,7 +52,7 @@
             nursery.cancel_scope.cancel()
 
     async def test_start_while_the_store_is_away(self) -> None:
-        # A router restarts while the store is down. It serves from what its peers know.
+        """Guards against a restarted router that cannot serve without the store."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             routers[1].feed.is_away = True
@@ -62,8 +60,8 @@
             self.assertTrue(routers[1].state.is_complete)
             nursery.cancel_scope.cancel()
 
-    async def test_instance_that_leaves_in_a_gap_of_the_history(self) -> None:
-        # The store drops its history and cuts the watches while an instance leaves.
+    async def test_instance_removed_in_history_gap(self) -> None:
+        """Guards against an instance that stays after its removal event was lost."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             self.enter("s2")
@@ -78,17 +76,16 @@
             self.assertEqual(names, ["s2"])
             nursery.cancel_scope.cancel()
 
-    async def test_calls_of_a_calm_minute(self) -> None:
-        # Each call is paid for. Before, watches of one second made 180 in a minute.
+    async def test_store_calls_without_changes(self) -> None:
+        """Guards against a high rate of billed calls while nothing changes."""
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery, 1)
             await trio.sleep(60)
             self.assertLessEqual(router.feed.n_calls, 70)
             nursery.cancel_scope.cancel()
 
-    async def test_calls_of_a_large_fleet_whose_engines_load_weights(self) -> None:
-        # Every engine's entry changes as it loads weights, and each change ends the
-        # watch of every router. The store is paid by the call.
+    async def test_store_calls_of_large_fleet_during_weights_load(self) -> None:
+        """Guards against one billed call per router and change of an engine's entry."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 31)
             await trio.sleep(1)
@@ -101,8 +98,8 @@
             self.assertEqual(len(routers[0].state.instances("app")), 101)
             nursery.cancel_scope.cancel()
 
-    async def test_confirmation_that_is_read_after_a_pause(self) -> None:
-        """Guards against denials by a configuration that an old word confirmed."""
+    async def test_confirmation_read_after_pause(self) -> None:
+        """Guards against refusals based on an outdated confirmation."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 2)
             await trio.sleep(1)
@@ -118,8 +115,8 @@
             self.assertFalse(routers[1].state.is_confirmed(4.0))
             nursery.cancel_scope.cancel()
 
-    async def test_questions_while_much_changes_and_the_store_is_away(self) -> None:
-        """Guards against an answer of each peer to each of many offers."""
+    async def test_peer_queries_during_many_changes_and_store_outage(self) -> None:
+        """Guards against answers of all peers to every offer in a series of changes."""
         async with trio.open_nursery() as nursery:
             routers = self.start(nursery, 14)
             await trio.sleep(1)
@@ -132,10 +129,10 @@
                     stored = self.decoder.put(
                         an_instance(f"s{number}", "app"), f"s{number}", 100 + number
                     )
-                    told = FeedChanges((FeedChange(stored, False),), 100 + number)
-                    router.state.apply_changes(INSTANCES, told)
+                    update = FeedChanges((FeedChange(stored, False),), 100 + number)
+                    router.state.apply_changes(INSTANCES, update)
                 await trio.sleep(0.2)
             n_pairs = 14 * 13
-            n_offers, n_questions = 55 * n_pairs, 10 / (0.8 * 3.0) * n_pairs
-            self.assertLess(self.hub.n_messages - n_before, n_offers + 2 * n_questions)
+            n_offers, n_queries = 55 * n_pairs, 10 / (0.8 * 3.0) * n_pairs
+            self.assertLess(self.hub.n_messages - n_before, n_offers + 2 * n_queries)
             nursery.cancel_scope.cancel()
