--- a/packages/corianderlb-router/src/corianderlb_router/catalogue_editor.py
+++ b/packages/corianderlb-router/src/corianderlb_router/catalogue_editor.py
@@ -1,8 +1,8 @@
 """Accept edits of the catalogue by one conditional write each.
 
-Creating ``changes/N`` is the acceptance, the audit record and the place in the order at
-once, so an edit cannot be half accepted. Used by the operators' command line; no router
-is needed.
+Creating ``changes/N`` accepts the edit, records it for the audit and fixes its position
+in the log in one step, so an edit is never partly accepted. The operators' command line
+uses this module without a router.
 """
 
 from __future__ import annotations
@@ -30,45 +30,45 @@
 )
 
 MAX_OBJECT_BYTES: Final = 1_000_000
-"""Largest value that the store holds; a change and a snapshot must each fit."""
+"""Largest value that the store accepts, for changes and for snapshots."""
 
 N_ATTEMPTS: Final = 4
-"""Times that a write without an answer is read back and sent again."""
+"""Attempts of a write that gets no answer, each followed by a read."""
 
-N_SEARCHED: Final = 256
-"""Newest changes among which a repeated edit is looked for."""
+N_CHANGES_SEARCHED: Final = 256
+"""Number of newest changes searched for a repeated edit."""
 
-SETTLE_S: Final = 0.5
-"""Seconds before the first repetition; doubles with each."""
+REPEAT_DELAY_S: Final = 0.5
+"""Seconds before the second attempt; doubles with each further attempt."""
 
 
 class EditConflictError(CorianderError):
-    """Signal that another edit was accepted first; ``conflict`` shows both."""
+    """Another edit of the same base version was accepted first."""
 
     code = ResultCode.EDIT_CONFLICT
 
     def __init__(self, conflict: Conflict) -> None:
         super().__init__(f"{conflict}\nread the newer version and edit that")
         self.conflict = conflict
-        """Both differences."""
+        """The rejected change and the changes accepted instead."""
 
 
 class EditOutcomeUnknownError(CorianderError):
-    """Signal an edit that may or may not be accepted: run the same edit again."""
+    """The edit may or may not be accepted; repeating it with its edit id is safe."""
 
     code = ResultCode.EDIT_OUTCOME_UNKNOWN
 
 
 def utc_now() -> str:
-    """Return the time of day, ISO 8601 in UTC, for audit records."""
+    """Return the current date and time in UTC, ISO 8601, for audit records."""
     return datetime.now(UTC).isoformat(timespec="milliseconds")
 
 
 class CatalogueEditor:
-    """Read the catalogue and its history, and accept edits.
+    """Reads the catalogue and its history, and accepts edits.
 
     For example ``await CatalogueEditor(store).accept(edit)`` returns the accepted
-    ``Change``, also when the same edit was accepted before and its answer got lost.
+    ``Change``, also if the same edit was accepted before and the answer was lost.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         return await self._log.newest()
 
     async def at(self, version: int) -> Catalogue:
-        """Return the catalogue as it was at a version."""
+        """Return the catalogue at a version."""
         return await self._log.at(version)
 
     async def change(self, version: int) -> Change | None:
@@ -97,42 +97,42 @@
         return [item.change for item in stored]
 
     async def find(self, edit_id: str) -> Change | None:
-        """Return the change of an edit that was accepted of late, or None."""
+        """Return the change of an edit among the newest changes, or None."""
         version = (await self._log.newest()).version
-        for earlier in range(version, max(0, version - N_SEARCHED), -1):
+        for earlier in range(version, max(0, version - N_CHANGES_SEARCHED), -1):
             change = await self.change(earlier)
             if change is not None and change.edit_id == edit_id:
                 return change
         return None
 
     async def accept(self, edit: Edit, repeated: bool = False) -> Change:
-        """Accept an edit, once, and return its change.
+        """Accept an edit exactly once and return its change.
 
-        With ``repeated`` the edit may have been accepted before, as when its outcome
-        was unknown. Others may have edited the same entries since, so it is looked for
-        first: accepting it anew on the newest base would undo what they did.
+        With ``repeated`` the edit may have been accepted before, as after an unknown
+        outcome, and the history is searched for it first. Accepting it again on the
+        newest base would undo later edits of the same entries.
 
-        Raise ``EditConflictError`` when another edit was accepted on the same base,
-        ``CatalogueInvalidError`` or ``EditError`` for an edit that cannot be accepted,
-        ``StoreUnavailableError`` when surely nothing was written, and
-        ``EditOutcomeUnknownError`` when the store did not tell.
+        Raise ``EditConflictError`` if another edit was accepted on the same base,
+        ``CatalogueInvalidError`` or ``EditError`` for an invalid edit,
+        ``StoreUnavailableError`` if nothing was written, and
+        ``EditOutcomeUnknownError`` if that is unknown.
         """
         if repeated and (earlier := await self.find(edit.edit_id)) is not None:
             return earlier
         base = await self._log.at(edit.base_version)
         mine = change_of(edit, base, self._wall_clock())
-        self._require_size(base, mine)
-        in_doubt = False
-        for n_tried in range(N_ATTEMPTS):
-            if n_tried:
-                await trio.sleep(SETTLE_S * 2 ** (n_tried - 1))
+        self._check_size(base, mine)
+        is_outcome_unknown = False
+        for n_attempts in range(N_ATTEMPTS):
+            if n_attempts:
+                await trio.sleep(REPEAT_DELAY_S * 2 ** (n_attempts - 1))
             try:
                 return await self._write(mine)
             except StoreUnknownError:
-                in_doubt = True
+                is_outcome_unknown = True
             except StoreUnavailableError:
-                # Once a write is in doubt, a later refusal says nothing about it.
-                if not in_doubt:
+                # A refusal does not settle the outcome of an earlier attempt.
+                if not is_outcome_unknown:
                     raise
         raise EditOutcomeUnknownError(
             f"no answer whether edit {edit.edit_id} is accepted; run it again with "
@@ -140,21 +140,21 @@
         )
 
     async def _write(self, mine: Change) -> Change:
-        """Create the change, or find out who was first."""
+        """Create the change; on a conflict or a lost answer, read it back."""
         try:
             await self._store.create(change_key(mine.version), change_to_json(mine))
             return mine
         except StoreConflictError:
-            return await self._settle(mine)
+            return await self._read_back(mine)
         except StoreUnknownError:
-            return await self._settle(mine)
+            return await self._read_back(mine)
 
-    async def _settle(self, mine: Change) -> Change:
-        """Read back what stands where the change was to be.
+    async def _read_back(self, mine: Change) -> Change:
+        """Return the stored change of this version if it comes from the same edit.
 
-        Nothing there leaves the outcome unknown, since the write may be on its way
-        still. Sending it again is safe: the object is made once, by whichever comes
-        first, and both hold the same edit.
+        If there is none, the outcome is unknown, since the write may still take effect.
+        Repeating it is safe: only one of the two writes can create the object, and both
+        contain the same edit.
         """
         try:
             stored = await self._log.change(mine.version)
@@ -174,8 +174,8 @@
         theirs = await self._log.changes_after(mine.base_version)
         return Conflict(mine, tuple(item.change for item in theirs))
 
-    def _require_size(self, base: Catalogue, mine: Change) -> None:
-        """Refuse an edit that the store, or a later snapshot, could not hold."""
+    def _check_size(self, base: Catalogue, mine: Change) -> None:
+        """Raise ``EditError`` if the change or the new catalogue is too large."""
         after = catalogue_to_json(apply_change(base, mine))
         longest = max(len(after), len(change_to_json(mine)))
         if longest > MAX_OBJECT_BYTES:
--- a/packages/corianderlb-router/src/corianderlb_router/catalogue_log.py
+++ b/packages/corianderlb-router/src/corianderlb_router/catalogue_log.py
@@ -1,7 +1,7 @@
 """Read the catalogue's log in the platform's store.
 
-The log is the objects ``changes/N``, one an accepted change, and now and then a
-snapshot that spares a reader the changes before it.
+The log consists of one object ``changes/N`` for each accepted change, and of periodic
+snapshots, after which a reader needs only the later changes.
 """
 
 from __future__ import annotations
@@ -25,54 +25,54 @@
 from .store import ObjectStore, StoredObject
 
 LIST_LIMIT: Final = 1000
-"""Keys asked for in one call."""
+"""Number of keys requested in one call."""
 
 
 class CatalogueLogError(CorianderError):
-    """Signal that the log in the store is not what it must be."""
+    """The log in the store is incomplete or cannot be decoded."""
 
     code = ResultCode.INTERNAL
 
 
 class VersionNotFoundError(CorianderError):
-    """Signal a catalogue version that is not accepted yet."""
+    """The requested catalogue version has not been accepted yet."""
 
     code = ResultCode.NOT_FOUND
 
 
 @dataclass(frozen=True)
 class StoredChange:
-    """Hold a change with the very bytes that the store keeps."""
+    """A decoded change and its encoded form in the store."""
 
     change: Change
     data: bytes
     revision: int = 0
-    """Where a watch for the next change may start."""
+    """Revision from which a watch returns the next change."""
 
 
 @dataclass(frozen=True)
 class StoredSnapshot:
-    """Hold a snapshot with the very bytes that the store keeps."""
+    """A decoded snapshot and its encoded form in the store."""
 
     catalogue: Catalogue
     data: bytes
 
 
 class CatalogueLog:
-    """Read changes and snapshots; each method says how many calls it makes."""
+    """Reads changes and snapshots; each method documents its number of calls."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def change(self, version: int) -> StoredChange | None:
-        """Return the change that made a version, or None; one call."""
+        """Return the change that created a version, or None; one call."""
         found = await self._store.get(change_key(version))
         return None if found is None else _read_change(found, version)
 
     async def changes_after(
         self, version: int, limit: int = LIST_LIMIT
     ) -> list[StoredChange]:
-        """Return the next changes in order; one call, and one for each change."""
+        """Return the next changes in order; one call plus one per change."""
         keys = await self._store.list(CHANGE_PREFIX, change_key(version), limit)
         found = []
         for key in keys:
@@ -89,7 +89,7 @@
         return found
 
     async def snapshot_keys(self) -> list[str]:
-        """Return the keys of the snapshots, oldest first; one call a thousand."""
+        """Return the keys of the snapshots, oldest first; one call per 1000 keys."""
         keys = await self._store.list(SNAPSHOT_PREFIX, limit=LIST_LIMIT)
         n_new = len(keys)
         while n_new == LIST_LIMIT:
@@ -105,7 +105,7 @@
         return None if found is None else _read_snapshot(found)
 
     async def newest(self) -> Catalogue:
-        """Return the newest catalogue; two calls for the lists, and the objects."""
+        """Return the newest catalogue; calls for two lists and for each object."""
         snapshot = await self.newest_snapshot()
         catalogue = snapshot.catalogue if snapshot else Catalogue()
         while found := await self.changes_after(catalogue.version):
@@ -114,7 +114,7 @@
         return catalogue
 
     async def at(self, version: int) -> Catalogue:
-        """Return the catalogue at a version, from the newest snapshot not above it."""
+        """Return the catalogue at a version, built on the closest earlier snapshot."""
         keys = await self.snapshot_keys()
         fitting = [key for key in keys if _version_in(key) <= version]
         found = await self._store.get(fitting[-1]) if fitting else None
--- a/packages/corianderlb-router/src/corianderlb_router/catalogue_reader.py
+++ b/packages/corianderlb-router/src/corianderlb_router/catalogue_reader.py
@@ -1,9 +1,9 @@
 """Read the catalogue's log from the store, with few calls over all routers.
 
 One router of each availability zone watches the log; a waiting watch counts as a call.
-The others look now and then, as the backstop when the watchers are gone or the store
-answers some routers only. A starting router asks its peers first, so that a herd of
-starts does not mean a herd of full reads.
+The others poll at longer intervals, in case the watchers fail or the store answers only
+some routers. A starting router waits for its peers first, so that many simultaneous
+starts do not cause a thundering herd of full reads.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
 from .store import ObjectStore, StoreError, StoreUnavailableError
 
 POLL_S: Final = (6.0, 10.0)
-"""Least and most seconds between two looks of a router that has peers.
+"""Shortest and longest seconds between two polls of a router that has linked peers.
 
-At 410 routers that is 51 reads a second. The most, and a few links on the way, stay
-below the 13 s in which a change must be in force, also when the store answers a single
-router that does not watch.
+The longest, plus the forwarding over a few links, stays below the 13 s in which a
+change must be in force, also when the store answers only one router, which need not be
+a watcher.
 """
 
-POLL_ALONE_S: Final = (1.0, 3.0)
-"""The same for a router that is linked to nobody now."""
+POLL_UNLINKED_S: Final = (1.0, 3.0)
+"""The same for a router without a linked peer."""
 
 WATCH_S: Final = 6.0
-"""Seconds of one watch; its end confirms that there is nothing newer."""
+"""Seconds of one watch; a watch that times out confirms the version in force."""
 
 N_FIRST_READERS: Final = 2
-"""Routers of a starting herd that read the store at once."""
+"""Number of starting routers that read the store without waiting for peers."""
 
-LIST_WAIT_S: Final = 1.0
-"""Longest wait of a start for the platform's list, which tells who else there is."""
+INSTANCE_LIST_TIMEOUT_S: Final = 1.0
+"""Seconds that a start waits for the platform's list of instances."""
 
-PEERS_FIRST_S: Final = (2.0, 4.0)
-"""Least and most seconds that the other starting routers wait for their peers."""
+PEER_WAIT_S: Final = (2.0, 4.0)
+"""Shortest and longest seconds that other starting routers wait for their peers."""
 
 BACKOFF_S: Final = (0.5, 5.0)
-"""First and longest wait after a failed read, before jitter."""
+"""First and longest seconds after a failed read, before jitter."""
 
 MAX_RETRY_AFTER_S: Final = 10.0
-"""Longest wait that the store may ask for."""
+"""Longest delay in seconds that the store may request."""
 
 WAITING_LOG_S: Final = 2.0
-"""Seconds without a catalogue after which the log says that the router waits."""
+"""Seconds without a catalogue after which the wait is logged."""
 
 _WATCH_KEY: Final = b"catalogue-watch"
 _START_KEY: Final = b"catalogue-start"
@@ -66,7 +66,7 @@
 
 @dataclass
 class ReaderCounters:
-    """Count the reader's ways to the store, since the start."""
+    """Reads of the store since the start of the router, by purpose."""
 
     n_full_reads: int = 0
     n_polls: int = 0
@@ -75,7 +75,7 @@
 
 
 class CatalogueReader:
-    """Keep a ``CatalogueFollower`` in step with the store."""
+    """Keeps a ``CatalogueFollower`` up to date with the store."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         rng: random.Random,
     ) -> None:
         self.counters = ReaderCounters()
-        """Calls by purpose; the store client counts them by kind."""
+        """Reads by purpose; the store client counts calls by kind."""
         self._store = store
         self._log = CatalogueLog(store)
         self._follower = follower
@@ -100,20 +100,20 @@
         self._failing = False
 
     async def run(self) -> None:
-        """Get a first catalogue, then stay in step until cancelled."""
+        """Obtain a first catalogue, then follow the log until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._say_waiting)
+            nursery.start_soon(self._log_waiting)
             await self._start()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write_snapshots)
-            await self._stay_in_step()
+            await self._follow()
 
     async def _start(self) -> None:
-        """Return once something is in force, from whoever gives it first."""
-        with trio.move_on_after(LIST_WAIT_S):
+        """Wait until a catalogue is in force, from the store or from a peer."""
+        with trio.move_on_after(INSTANCE_LIST_TIMEOUT_S):
             await self._peers.wait_listed()
         if not self._reads_first():
-            await self._wait_for_peers(self._rng.uniform(*PEERS_FIRST_S))
+            await self._wait_for_peers(self._rng.uniform(*PEER_WAIT_S))
         wait_s = BACKOFF_S[0]
         while self._follower.current() is None:
             await self._try(self._read_all)
@@ -122,40 +122,40 @@
                 wait_s = min(2 * wait_s, BACKOFF_S[1])
 
     def _reads_first(self) -> bool:
-        """Tell whether this is one of the few that read the store at once."""
+        """Return whether this router reads the store without waiting for peers."""
         names = {state.instance for state in self._peers.candidates()} | {self._own}
         return self._own in rank(_START_KEY, names)[:N_FIRST_READERS]
 
     async def _wait_for_peers(self, wait_s: float) -> None:
-        """Wait until a peer gave a catalogue, or for a time."""
+        """Wait until a peer has sent a catalogue, at most ``wait_s``."""
         if self._follower.current() is None:
             with trio.move_on_after(wait_s):
                 await self._follower.wait_changed()
 
-    async def _say_waiting(self) -> None:
+    async def _log_waiting(self) -> None:
         with trio.move_on_after(WAITING_LOG_S):
             while self._follower.current() is None:
                 await self._follower.wait_changed()
             return
         eliot.log_message(message_type="catalogue:waiting", for_s=WAITING_LOG_S)
 
-    async def _stay_in_step(self) -> None:
+    async def _follow(self) -> None:
         while True:
-            if self._watches():
+            if self._is_watcher():
                 done = await self._try(self._watch)
             else:
-                bounds = POLL_S if self._peers.linked() else POLL_ALONE_S
+                bounds = POLL_S if self._peers.linked() else POLL_UNLINKED_S
                 await trio.sleep(self._rng.uniform(*bounds))
                 done = await self._try(self._poll)
-            # The connection may have gone silent; a new one tells at once.
+            # The connection may be dead; a poll over a new one fails or succeeds fast.
             if not done and not await self._try(self._poll):
-                await trio.sleep(self._rng.uniform(*POLL_ALONE_S))
+                await trio.sleep(self._rng.uniform(*POLL_UNLINKED_S))
 
-    def _watches(self) -> bool:
-        """Tell whether this router watches for its availability zone."""
-        return self._is_home(_WATCH_KEY, self._zone)
+    def _is_watcher(self) -> bool:
+        """Return whether this router watches the log for its availability zone."""
+        return self._is_primary(_WATCH_KEY, self._zone)
 
-    def _is_home(self, key: bytes, zone: str = "") -> bool:
+    def _is_primary(self, key: bytes, zone: str = "") -> bool:
         names = [
             state.instance
             for state in self._peers.members()
@@ -166,49 +166,49 @@
     async def _read_all(self) -> None:
         """Read the newest snapshot and the changes after it."""
         self.counters.n_full_reads += 1
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         snapshot = await self._log.newest_snapshot()
         if snapshot is not None:
-            self._follower.take_stored_snapshot(snapshot.data, asked_at)
+            self._follower.apply_stored_snapshot(snapshot.data, requested_at)
         while found := await self._log.changes_after(self._follower.version):
-            self._follower.take_stored([stored.data for stored in found], asked_at)
+            self._follower.take_stored([stored.data for stored in found], requested_at)
             self._revision = found[-1].revision
-            asked_at = trio.current_time()
-        self._follower.confirm(asked_at)
+            requested_at = trio.current_time()
+        self._follower.confirm(requested_at)
 
     async def _poll(self) -> None:
-        """Look for the next change; one call when there is none."""
+        """Read the changes after the version in force; one call when there is none."""
         self.counters.n_polls += 1
         while True:
             version = self._follower.version
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             stored = await self._log.change(version + 1)
             if stored is None:
                 break
-            self._follower.take_stored([stored.data], asked_at)
+            self._follower.take_stored([stored.data], requested_at)
             self._revision = stored.revision
         if self._follower.version == version:
-            self._follower.confirm(asked_at)
+            self._follower.confirm(requested_at)
 
     async def _watch(self) -> None:
-        """Wait for a change, then read it."""
+        """Wait for a change and read it."""
         if self._revision == 0:
-            await self._find_revision()
+            await self._find_watch_revision()
         self.counters.n_watches += 1
-        asked_at = trio.current_time()
-        seen = await self._store.watch(CHANGE_PREFIX, self._revision, WATCH_S)
-        if seen.keys:
+        requested_at = trio.current_time()
+        result = await self._store.watch(CHANGE_PREFIX, self._revision, WATCH_S)
+        if result.keys:
             await self._poll()
         else:
-            self._follower.confirm(asked_at)
-        # Only now: a failed read must find the same change again at the next watch.
-        self._revision = max(self._revision, seen.revision)
+            self._follower.confirm(requested_at)
+        # Set only after the read, so that the next watch finds the change again if the
+        # read failed.
+        self._revision = max(self._revision, result.revision)
 
-    async def _find_revision(self) -> None:
-        """Learn where a watch must start, when the catalogue came from a peer.
+    async def _find_watch_revision(self) -> None:
+        """Set the revision at which a watch starts, if the catalogue came from a peer.
 
-        The look for the next change comes after: one made before would be missed by a
-        watch from there on.
+        The poll comes last: the watch does not return changes before that revision.
         """
         stored = await self._log.change(self._follower.version)
         if stored is not None:
@@ -216,30 +216,30 @@
         await self._poll()
 
     async def _try(self, step: Callable[[], Awaitable[None]]) -> bool:
-        """Run a step; return False, and log the change of state, when it fails."""
+        """Run a step and return whether it succeeded; log the first failure."""
         try:
             await step()
         except CorianderError as exc:
             self.counters.n_failures += 1
-            self._note(failing=True, reason=str(exc))
+            self._log_status_change(failing=True, reason=str(exc))
             if isinstance(exc, StoreUnavailableError) and exc.retry_after_s:
                 await trio.sleep(min(exc.retry_after_s, MAX_RETRY_AFTER_S))
             return False
-        self._note(failing=False)
+        self._log_status_change(failing=False)
         return True
 
-    def _note(self, failing: bool, reason: str = "") -> None:
+    def _log_status_change(self, failing: bool, reason: str = "") -> None:
         if failing is not self._failing:
             self._failing = failing
             kind = "store_failing" if failing else "store_read_again"
             eliot.log_message(message_type=f"catalogue:{kind}", reason=reason)
 
     async def _write_snapshots(self) -> None:
-        """Write the snapshots that are due, if this router is the one to do it."""
+        """Write due snapshots while this router is the primary for them."""
         while True:
             await self._follower.wait_changed()
             version = self._snapshots.due(self._follower.version)
-            if not version or not self._is_home(_SNAPSHOT_KEY):
+            if not version or not self._is_primary(_SNAPSHOT_KEY):
                 continue
             data = self._follower.snapshot_at(version)
             if data is None:
--- a/packages/corianderlb-router/src/corianderlb_router/snapshot_writer.py
+++ b/packages/corianderlb-router/src/corianderlb_router/snapshot_writer.py
@@ -1,7 +1,7 @@
-"""Write snapshots of the catalogue now and then, so that starts read few changes.
+"""Write periodic snapshots of the catalogue, which limit the changes read at a start.
 
-A snapshot cannot revert anything: its key is its version, it is only ever created, its
-bytes follow from the log alone, and readers apply every later change on top of it.
+A snapshot cannot revert a change: its key is its version, it is never overwritten, its
+content is derived from the log alone, and readers apply all later changes to it.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from .store import ObjectStore, StoreConflictError
 
 SNAPSHOT_EVERY: Final = 32
-"""Versions from one snapshot to the next: at most as many changes to read after it."""
+"""Number of versions between snapshots, and so of changes to read after one."""
 
 N_KEPT: Final = 4
-"""Newest snapshots that stay."""
+"""Number of newest snapshots that are kept."""
 
 KEEP_EVERY: Final = 1024
-"""A snapshot at a multiple of this stays for good, for reading old versions."""
+"""Snapshots at multiples of this version are kept forever, to read old versions."""
 
 
 class SnapshotWriter:
-    """Create the snapshots that are due and take away those that served."""
+    """Creates due snapshots and deletes old ones."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
@@ -32,20 +32,20 @@
         self._written = 0
 
     def due(self, version: int) -> int:
-        """Return the version to write a snapshot of, or 0 when none is due."""
+        """Return the version whose snapshot is due, or 0 if none is."""
         due = version - version % SNAPSHOT_EVERY
         return due if due > self._written else 0
 
     async def write(self, version: int, data: bytes) -> None:
-        """Create a snapshot, unless it is there, and take away old ones."""
+        """Create a snapshot unless it exists, and delete old ones."""
         try:
             await self._store.create(snapshot_key(version), data)
         except StoreConflictError:
             pass
         self._written = version
-        await self._take_away_old()
+        await self._delete_old()
 
-    async def _take_away_old(self) -> None:
+    async def _delete_old(self) -> None:
         for key in (await self._log.snapshot_keys())[:-N_KEPT]:
             if int(key.removeprefix(SNAPSHOT_PREFIX)) % KEEP_EVERY == 0:
                 continue
--- a/packages/corianderlb-router/tests/test_catalogue_editor.py
+++ b/packages/corianderlb-router/tests/test_catalogue_editor.py
@@ -1,4 +1,4 @@
-"""An edit is accepted by one write, once, and operators who race are told."""
+"""Acceptance of edits: exactly once, with conflicts and lost answers."""
 
 from __future__ import annotations
 
@@ -34,12 +34,8 @@
         self.assertEqual((record.accepted_at, record.owner), ("noon", "platform-team"))
         self.assertEqual((await editor.newest()).version, 1)
 
-    async def test_racing_operators(self) -> None:
-        """Two operators edit the same version at the same time.
-
-        Without the condition on the write the first edit would vanish silently; here
-        one wins, and the other sees both differences.
-        """
+    async def test_concurrent_edits_of_one_version(self) -> None:
+        """Guards against a concurrent edit that silently replaces an accepted one."""
         editor = CatalogueEditor(FakeStore())
         await editor.accept(an_edit())
         first = an_edit("e2", 1, put=(a_model(),))
@@ -54,19 +50,16 @@
             (await editor.newest()).model("ember-llm").weights_version, "w1"
         )
 
-    async def test_lost_answer_is_settled_by_reading_back(self) -> None:
-        """The store accepted the edit and its answer was lost on the way.
-
-        Sending it anew as version 2 would apply the operator's edit twice.
-        """
+    async def test_lost_answer_is_resolved_by_reading_back(self) -> None:
+        """Guards against an edit applied twice after its answer was lost."""
         editor = CatalogueEditor(FakeStore(StoreFaults(n_lost_answers=1)))
         self.assertEqual((await editor.accept(an_edit())).version, 1)
         self.assertEqual(len(await editor.history()), 1)
 
-    async def test_lost_call_is_sent_again(self) -> None:
-        """The write was lost before it took effect, which nobody here can know.
+    async def test_lost_request_is_repeated(self) -> None:
+        """The first write is lost and the second refused; the edit is accepted once.
 
-        The store then refuses the second try, which says nothing about the first.
+        Guards against reporting the refusal as the outcome of the first write.
         """
         store = FakeStore(StoreFaults(n_lost_requests=1))
 
@@ -77,8 +70,8 @@
         store.before_write = refuse_second
         self.assertEqual((await CatalogueEditor(store).accept(an_edit())).version, 1)
 
-    async def test_late_write_is_not_doubled(self) -> None:
-        """The first write is on its way for long; the second try comes in between."""
+    async def test_delayed_write_is_not_applied_twice(self) -> None:
+        """Guards against a second change when the first write arrives late."""
         async with trio.open_nursery() as nursery:
             faults = StoreFaults(n_late_writes=1, late_s=20.0)
             store = FakeStore(faults, nursery=nursery)
@@ -86,11 +79,8 @@
             self.assertEqual((await editor.accept(an_edit())).version, 1)
         self.assertEqual(len(await editor.history()), 1)
 
-    async def test_doubt_is_told_and_settled_by_the_same_edit(self) -> None:
-        """The store goes away for long right after it took the edit.
-
-        The operator must not hear "not accepted", since the edit will be in force.
-        """
+    async def test_unknown_outcome_is_resolved_by_repeating_the_edit(self) -> None:
+        """Guards against reporting an edit as rejected when only its answer is lost."""
         store = FakeStore(StoreFaults(n_lost_answers=1))
         editor = CatalogueEditor(store)
 
@@ -104,11 +94,8 @@
         self.assertEqual((await editor.accept(an_edit())).version, 1)
         self.assertEqual(len(await editor.history()), 1)
 
-    async def test_repeated_edit_undoes_nothing(self) -> None:
-        """An edit's answer was lost; others edited the entry before it is run again.
-
-        Taking it as a new edit of the newest version would undo what they did.
-        """
+    async def test_repeated_edit_keeps_later_edits(self) -> None:
+        """Guards against a repeated edit that undoes later edits of the same entry."""
         editor = CatalogueEditor(FakeStore())
         mine = an_edit(put=(an_upstream(owner="mine"),))
         await editor.accept(mine)
@@ -118,7 +105,7 @@
         newest = await editor.newest()
         self.assertEqual(newest.upstream("ember-llm").owner, "theirs")
 
-    async def test_clean_refusal_says_so(self) -> None:
+    async def test_refused_write_raises_store_unavailable(self) -> None:
         store = FakeStore()
 
         async def refuse(key: str) -> None:
@@ -128,21 +115,21 @@
         with self.assertRaises(StoreUnavailableError):
             await CatalogueEditor(store).accept(an_edit())
 
-    async def test_two_writers_at_the_same_moment(self) -> None:
-        """Eight operators press the key together; exactly one edit is accepted."""
+    async def test_simultaneous_edits(self) -> None:
+        """Guards against more than one accepted edit on the same base version."""
         store = FakeStore(StoreFaults(delay_s=0.1))
-        won: list[str] = []
-        lost: list[str] = []
+        accepted_ids: list[str] = []
+        conflicting_ids: list[str] = []
 
         async def accept(edit: Edit) -> None:
             try:
-                won.append((await CatalogueEditor(store).accept(edit)).edit_id)
+                accepted_ids.append((await CatalogueEditor(store).accept(edit)).edit_id)
             except EditConflictError:
-                lost.append(edit.edit_id)
+                conflicting_ids.append(edit.edit_id)
 
         async with trio.open_nursery() as nursery:
             for name in "abcdefgh":
                 edit = dataclasses.replace(an_edit(), edit_id=name, author=name)
                 nursery.start_soon(accept, edit)
-        self.assertEqual((len(won), len(lost)), (1, 7))
+        self.assertEqual((len(accepted_ids), len(conflicting_ids)), (1, 7))
         self.assertEqual(len(await CatalogueEditor(store).history()), 1)
--- a/packages/corianderlb-router/tests/test_catalogue_follower.py
+++ b/packages/corianderlb-router/tests/test_catalogue_follower.py
@@ -1,4 +1,4 @@
-"""A change is in force everywhere within seconds and never goes back."""
+"""Changes are in force on all routers within seconds and are never reverted."""
 
 from __future__ import annotations
 
@@ -24,47 +24,47 @@
 from corianderlb_standins.trio_case import TrioTestCase
 
 IN_FORCE_S = 13.0
-"""The users' bound from acceptance to in force everywhere."""
+"""Longest seconds from acceptance until a change is in force on all routers."""
 
 
-class Gate(ObjectStore):
-    """Let the calls of one router through to a store while ``is_open()``."""
+class BlockableStore(ObjectStore):
+    """Forwards the calls of one router to a store while ``is_reachable()``."""
 
-    def __init__(self, store: FakeStore, is_open: Callable[[], bool]) -> None:
+    def __init__(self, store: FakeStore, is_reachable: Callable[[], bool]) -> None:
         self.store = store
-        self.is_open = is_open
+        self.is_reachable = is_reachable
 
-    async def through(self, name: str, *args: Any) -> Any:
-        if not self.is_open():
+    async def call_if_open(self, name: str, *args: Any) -> Any:
+        if not self.is_reachable():
             self.store.calls[name] += 1
             await trio.sleep(0.01)
-            raise StoreUnavailableError("the gate is shut")
+            raise StoreUnavailableError("blocked")
         return await getattr(self.store, name)(*args)
 
     async def get(self, key):
-        return await self.through("get", key)
+        return await self.call_if_open("get", key)
 
     async def list(self, prefix, after="", limit=1000):
-        return await self.through("list", prefix, after, limit)
+        return await self.call_if_open("list", prefix, after, limit)
 
     async def create(self, key, value):
-        return await self.through("create", key, value)
+        return await self.call_if_open("create", key, value)
 
     async def update(self, key, value, version):
-        return await self.through("update", key, value, version)
+        return await self.call_if_open("update", key, value, version)
 
     async def delete(self, key, version):
-        return await self.through("delete", key, version)
+        return await self.call_if_open("delete", key, version)
 
     async def watch(self, prefix, revision, timeout_s):
-        return await self.through("watch", prefix, revision, timeout_s)
+        return await self.call_if_open("watch", prefix, revision, timeout_s)
 
     async def instances(self):
-        return await self.through("instances")
+        return await self.call_if_open("instances")
 
 
 class Router:
-    """Hold the parts of one router that follow the catalogue."""
+    """The components of one router that follow the catalogue."""
 
     def __init__(self, fleet: Fleet, record: InstanceRecord, epoch: int) -> None:
         rng = random.Random(f"{record.instance}{epoch}")
@@ -84,9 +84,11 @@
         self.peers = OverlayNetwork(own, b"k", transport, cfg, rng)
         self.follower = CatalogueFollower(self.peers)
         self.peers.version = lambda: (self.follower.version, "")
-        self.gate = Gate(fleet.store, lambda: record.instance in fleet.answered)
+        self.store = BlockableStore(
+            fleet.store, lambda: record.instance in fleet.reachable
+        )
         self.reader = CatalogueReader(
-            self.gate, self.follower, self.peers, record.instance, record.zone, rng
+            self.store, self.follower, self.peers, record.instance, record.zone, rng
         )
         self.scope = trio.CancelScope()
         self.versions: list[int] = []
@@ -103,14 +105,14 @@
 
 
 class Fleet:
-    """Run routers over one store and one fabric."""
+    """Routers that share one store and one network."""
 
     def __init__(self, n_routers: int) -> None:
         self.fabric = MemoryFabric()
         self.store = FakeStore()
         self.store.faults.delay_s = 0.005
         names = [InstanceId(f"r{i:02d}") for i in range(n_routers)]
-        self.answered = set(names)
+        self.reachable = set(names)
         self.records = [
             InstanceRecord(
                 name, Role.ROUTER, f"z{i % 3}", "pnw", "", peer_address=str(name)
@@ -148,29 +150,26 @@
                 await trio.sleep(0.05)
         return trio.current_time() - start
 
-    def cut_off(self, name: str) -> None:
-        self.answered.discard(name)
+    def disconnect(self, name: str) -> None:
+        self.reachable.discard(name)
         self.fabric.passes = lambda a, b: name not in (a, b)
 
 
 class FollowerTest(TrioTestCase):
-    async def test_store_answers_a_single_router(self) -> None:
-        """The store answers one router of sixteen, which need not be a watcher.
-
-        Without gossip of versions the other fifteen would stay on the old catalogue.
-        """
+    async def test_store_reachable_by_single_router(self) -> None:
+        """Guards against 15 of 16 routers that keep an old catalogue."""
         async with Fleet(16).running() as fleet:
             await fleet.edit(1)
             fleet.start()
             await fleet.seconds_until(1)
             await trio.sleep(15)
             for version, name in enumerate(["r03", "r11", "r15"], start=2):
-                fleet.answered = {InstanceId(name)}
+                fleet.reachable = {InstanceId(name)}
                 await fleet.edit(version)
                 self.assertLess(await fleet.seconds_until(version), IN_FORCE_S)
 
-    async def test_store_fails_right_after_acceptance(self) -> None:
-        """One router saw the change, then the store went away for all."""
+    async def test_store_fails_after_acceptance(self) -> None:
+        """The store fails for all routers after one of them has read the change."""
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
             fleet.start()
@@ -182,8 +181,8 @@
             fleet.store.faults.unavailable = True
             self.assertLess(await fleet.seconds_until(2), 2.0)
 
-    async def test_version_never_goes_down(self) -> None:
-        """Routers restart and are cut off while operators go on editing."""
+    async def test_version_never_decreases(self) -> None:
+        """Routers restart and lose their connections during a series of edits."""
         rng = random.Random(11)
         async with Fleet(5).running() as fleet:
             await fleet.edit(1)
@@ -195,16 +194,16 @@
                     fleet.routers[name].scope.cancel()
                     fleet.start(name, epoch=version)
                 else:
-                    fleet.cut_off(name)
+                    fleet.disconnect(name)
                 await trio.sleep(rng.uniform(0.1, 5))
                 fleet.fabric.passes = lambda a, b: True
-                fleet.answered = {record.instance for record in fleet.records}
+                fleet.reachable = {record.instance for record in fleet.records}
             self.assertLess(await fleet.seconds_until(29), IN_FORCE_S)
             for router in fleet.routers.values():
                 self.assertEqual(router.versions, sorted(set(router.versions)))
 
-    async def test_start_while_the_store_is_down(self) -> None:
-        """A router restarts during an outage of the store; it serves from its peers."""
+    async def test_start_during_outage(self) -> None:
+        """A router restarted during an outage gets the catalogue from its peers."""
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
             fleet.start()
@@ -214,7 +213,7 @@
             fleet.start("r02", epoch=2)
             self.assertLess(await fleet.seconds_until(1), 2.0)
 
-    async def test_start_while_the_store_is_slow(self) -> None:
+    async def test_start_with_slow_store(self) -> None:
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
             fleet.start()
@@ -225,11 +224,7 @@
             self.assertLess(await fleet.seconds_until(1), 2.0)
 
     async def test_herd_start_reads_little(self) -> None:
-        """Sixteen routers start together after 70 changes.
-
-        If each read the log by itself, the store would get sixteen full reads at once,
-        and at 410 routers would be down when it is needed most.
-        """
+        """Guards against a thundering herd of full reads when all routers start."""
         async with Fleet(16).running() as fleet:
             for version in range(1, 71):
                 await fleet.edit(version)
@@ -239,61 +234,55 @@
             n_full = sum(r.reader.counters.n_full_reads for r in fleet.routers.values())
             self.assertLessEqual(n_full, 2)
 
-    async def test_start_with_neither_store_nor_peers_waits(self) -> None:
+    async def test_start_without_store_and_peers_waits(self) -> None:
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
-            fleet.cut_off("r02")
+            fleet.disconnect("r02")
             fleet.start("r02")
             await trio.sleep(30)
             self.assertIsNone(fleet.routers["r02"].follower.current())
-            fleet.answered.add(InstanceId("r02"))
+            fleet.reachable.add(InstanceId("r02"))
             self.assertLess(await fleet.seconds_until(1), 8.0)
 
     async def test_cut_off_router_refuses(self) -> None:
-        """A router loses the store and its peers, but callers still reach it.
-
-        It would go on deciding under a catalogue that may be replaced everywhere else,
-        such as one that still lets a removed account in.
-        """
+        """Guards against admitting removed accounts without store and peers."""
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
             fleet.start()
             await fleet.seconds_until(1)
             await trio.sleep(5)
-            cut = fleet.routers["r02"].follower
-            fleet.cut_off("r02")
+            disconnected = fleet.routers["r02"].follower
+            fleet.disconnect("r02")
             await fleet.edit(2)
             await trio.sleep(IN_FORCE_S)
-            self.assertTrue(cut.is_stale())
+            self.assertTrue(disconnected.is_stale())
             self.assertFalse(fleet.routers["r01"].follower.is_stale())
             await trio.sleep(700)
-            self.assertTrue(cut.is_stale())
+            self.assertTrue(disconnected.is_stale())
             fleet.fabric.passes = lambda a, b: True
             await fleet.seconds_until(2)
-            self.assertFalse(cut.is_stale())
+            self.assertFalse(disconnected.is_stale())
 
-    async def test_word_from_before_a_pause_confirms_nothing(self) -> None:
-        """A router is stopped while others edit. Heartbeats from before the edit lie
-        in its sockets, and when it wakes it took their old version for the newest and
-        answered a removed account."""
+    async def test_heartbeat_from_before_pause_does_not_confirm(self) -> None:
+        """Guards against confirmation by heartbeats that were buffered in a pause."""
         async with Fleet(2).running() as fleet:
             await fleet.edit(1)
             fleet.start()
             await fleet.seconds_until(1)
             await trio.sleep(5)
             peers = fleet.routers["r01"].peers
-            woken = fleet.routers["r01"].follower
+            resumed = fleet.routers["r01"].follower
             before = next(m for m in peers.members() if m.instance == "r01").heartbeat
             self.assertIsNotNone(peers.beaten_at(before))
-            fleet.cut_off("r01")
+            fleet.disconnect("r01")
             await trio.sleep(IN_FORCE_S)
-            self.assertTrue(woken.is_stale())
+            self.assertTrue(resumed.is_stale())
             beat = Heartbeat(1000, catalogue_version=1, echo=before)
-            await woken.on_heartbeat(InstanceId("r00"), beat)
-            self.assertTrue(woken.is_stale())
+            await resumed.on_heartbeat(InstanceId("r00"), beat)
+            self.assertTrue(resumed.is_stale())
 
-    async def test_store_outage_stops_nobody(self) -> None:
-        """The store is down for an hour; routers that hear each other go on."""
+    async def test_routers_stay_fresh_during_store_outage(self) -> None:
+        """Guards against refusals by connected routers during a store outage."""
         async with Fleet(3).running() as fleet:
             await fleet.edit(1)
             fleet.start()
@@ -304,27 +293,27 @@
                 for router in fleet.routers.values():
                     self.assertFalse(router.follower.is_stale())
 
-    async def test_old_copy_is_not_handed_on(self) -> None:
-        """A starting router reaches only one that is cut off with an old catalogue.
+    async def test_stale_catalogue_is_not_forwarded(self) -> None:
+        """Guards against two disconnected routers that confirm an old catalogue.
 
-        Taking that copy, the two would confirm each other and serve it for good.
+        The starting router reaches only one peer, which is itself disconnected.
         """
         async with Fleet(4).running() as fleet:
             await fleet.edit(1)
             fleet.start("r00", "r01", "r03")
             await fleet.seconds_until(1)
-            fleet.cut_off("r01")
+            fleet.disconnect("r01")
             await fleet.edit(2)
             await trio.sleep(20)
             pair = ("r01", "r02")
-            fleet.answered.discard(InstanceId("r02"))
+            fleet.reachable.discard(InstanceId("r02"))
             fleet.fabric.passes = lambda a, b: (a in pair) == (b in pair)
             fleet.start("r02")
             await trio.sleep(30)
             self.assertIsNone(fleet.routers["r02"].follower.current())
             self.assertTrue(fleet.routers["r01"].follower.is_stale())
 
-    async def test_snapshot_bounds_the_read_of_a_start(self) -> None:
+    async def test_snapshot_limits_reads_at_start(self) -> None:
         async with Fleet(3).running() as fleet:
             await fleet.edit(1)
             fleet.start()
