--- a/packages/corianderlb-router/src/corianderlb_router/_journal_object.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_journal_object.py
@@ -1,4 +1,4 @@
-"""The objects of one journal shard in the platform's store."""
+"""Objects of a journal shard in the platform's store."""
 
 from __future__ import annotations
 
@@ -20,52 +20,54 @@
 T = TypeVar("T")
 
 CHUNK_BYTES: Final = 512 * 1024
-"""Longest object that holds a part of an answer."""
+"""Size limit of an object that contains a part of an answer."""
 
 
 class ShardObjects:
-    """Read and write a shard's head and segments, and the answers of calls."""
+    """Reads and writes a shard's head and segments, and the answers of calls."""
 
     def __init__(self, store: ObjectStore, folder: str) -> None:
         self._store = store
         self._folder = folder
 
     async def head(self) -> StoredObject | None:
-        """Return the head, or None before the first call."""
+        """Return the head, or None if no call has been recorded yet."""
         return await self._store.get(f"{self._folder}/head")
 
     async def write_head(self, data: bytes, version: str | None) -> str:
-        """Replace the head of that version, or make it; return the new version."""
+        """Replace the head of a version, or create it; return the new version."""
         key = f"{self._folder}/head"
         if version is None:
             return await self._store.create(key, data)
         return await self._store.update(key, data, version)
 
     async def read_segment(self, ref: SegmentRef) -> Segment:
-        """Return a sealed segment that a head names."""
+        """Return a sealed segment that a head refers to."""
         stored = await self._store.get(self._segment_key(ref))
         if stored is None:
-            # Another router let it expire after this one had read the head.
-            raise StoreConflictError(f"segment {ref.name} is gone; read the head again")
+            # Another router dropped it as expired after this one had read the head.
+            raise StoreConflictError(
+                f"segment {ref.name} does not exist any more; read the head again"
+            )
         return decode_stored(Segment, stored.value)
 
     async def write_segment(self, ref: SegmentRef, segment: Segment) -> None:
-        """Make a segment, before a head names it."""
+        """Create a segment, before a head refers to it."""
         await self._store.create(self._segment_key(ref), to_cbor(segment))
 
     async def write_answer(self, attempt_id: AttemptId, body: bytes) -> None:
-        """Store an answer that is too long for its record, before the record."""
+        """Write an answer that is too long for its record, before the record."""
         for n, start in enumerate(range(0, len(body), CHUNK_BYTES)):
             data = body[start : start + CHUNK_BYTES]
             try:
                 await self._store.create(chunk_key(attempt_id, n), data)
             except StoreConflictError:
-                continue  # Written before, and the answer was lost.
+                continue  # Created by an earlier attempt whose answer was lost.
 
     async def delete(
         self, refs: Sequence[SegmentRef], segments: Sequence[Segment]
     ) -> None:
-        """Delete what no head names any more; what is missed only takes up room."""
+        """Delete expired segments and their answers; failures only waste space."""
         keys = [self._segment_key(ref) for ref in refs]
         for segment in segments:
             for record in segment.records:
@@ -89,10 +91,10 @@
 
 
 def decode_stored(cls: type[T], data: bytes) -> T:
-    """Return what an object of the journal holds.
+    """Decode an object of the journal.
 
-    Raise ``StoreUnavailableError`` for any other bytes: without its records a shard
-    cannot tell what has run, so its calls are refused.
+    Raise ``StoreUnavailableError`` if that fails: without its records a shard does not
+    know which calls have run, so its calls are refused.
     """
     try:
         return from_cbor(cls, data)
--- a/packages/corianderlb-router/src/corianderlb_router/_journal_shard.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_journal_shard.py
@@ -1,7 +1,7 @@
 """One shard of the journal: an actor that appends to the head in batches.
 
-Whatever arrives while a write is under way goes into the next one, so that the writes
-a second depend on the store's speed and not on the number of calls.
+Operations that arrive during a write go into the next one, so the rate of writes
+depends on the latency of the store and not on the number of calls.
 """
 
 from __future__ import annotations
@@ -39,55 +39,56 @@
 from .store import ObjectStore, StoreConflictError, StoreError
 
 MAX_BATCH: Final = 128
-"""Operations in one write; with inline answers this keeps a head far below 1 MB."""
+"""Limit of operations in one write; keeps a head with inline answers below 1 MB."""
 
 CONFLICT_PAUSE_S: Final = 0.01
-"""Longest first pause after another router's update; doubles with each conflict."""
+"""Longest first delay in seconds after another router's update; doubles with each
+conflict."""
 
 MAX_HEAD_BYTES: Final = 512 * 1024
-"""Size of a head from which no call begins: running calls cannot be sealed, and the
-store takes a megabyte, of which the answers under way need a part."""
+"""Size of a head above which no call begins. Calls in progress cannot be sealed, and
+their answers need the rest of the megabyte that the store accepts."""
 
 MAX_CONFLICT_PAUSE_S: Final = 0.05
-"""Longest pause after conflicts; each of them means that another router went on."""
+"""Longest delay in seconds after repeated conflicts."""
 
 MAX_PAUSE_S: Final = 0.5
-"""Longest pause before a store that fails is asked again."""
+"""Longest delay in seconds before a failed call to the store is retried."""
 
 LOST_ROUTER_S: Final = 3600.0
-"""Age from which a begun call's router counts as lost when the head is sealed."""
+"""Age in seconds from which a begun call counts as lost when the head is sealed."""
 
 
 @dataclass(eq=False)
-class Work:
-    """Ask a shard for one operation."""
+class PendingOperation:
+    """An operation queued at a shard."""
 
     operation: Operation
     reply: Future[Verdict] = field(default_factory=Future)
     body: bytes = b""
-    """Body of an answer that goes into objects of its own, before ``Finish``."""
-    tried: bool = False
-    """Whether a write with the operation may have taken effect."""
-    read: bool = False
-    """Whether the head was read since the operation came."""
-    withdrawn: bool = False
-    """Whether the caller has given up waiting."""
+    """Body of an answer that is written to separate objects before ``Finish``."""
+    may_be_written: bool = False
+    """Whether a write that includes the operation may have taken effect."""
+    is_head_read: bool = False
+    """Whether the head was read after the operation was queued."""
+    is_withdrawn: bool = False
+    """Whether the caller no longer waits for the reply."""
 
 
 @dataclass
 class ShardCounts:
-    """Count what a shard did since the router started."""
+    """Operations and store calls of a shard since the start of the router."""
 
     n_writes: int = 0
     n_operations: int = 0
     n_conflicts: int = 0
     n_read_backs: int = 0
-    """Reads that settled a write whose answer was lost."""
+    """Reads that resolved a write without an answer."""
     n_failures: int = 0
 
 
 class JournalShard(Actor):
-    """Own what this router knows of one shard, and its writes."""
+    """Caches one shard's records on this router and writes its operations."""
 
     def __init__(
         self,
@@ -108,75 +109,74 @@
         self._epoch = epoch
         self._wall_clock = wall_clock
         self._rng = rng
-        self._pending: list[Work] = []
+        self._pending: list[PendingOperation] = []
         self._state = ShardState()
         self._sealed: tuple[SegmentRef, ...] = ()
         self._segments: dict[str, Segment] = {}
         self._version: str | None = None
-        self._fresh = False
+        self._is_current = False
         self._n_failed = 0
         self._head_bytes = 0
-        self._live: set[AttemptId] = set()
+        self._active_attempts: set[AttemptId] = set()
         self._first_seen: dict[AttemptId, float] = {}
 
     @property
     def n_pending(self) -> int:
-        """Operations that are not settled yet."""
+        """Number of operations that are queued or being written."""
         return len(self._pending) + self._receive.statistics().current_buffer_used
 
     def find(self, key: bytes) -> CallRecord | None:
-        """Return the record as this router last saw it; it may be out of date."""
+        """Return the record as this router last read it; it may be outdated."""
         return self._state.find(key)
 
-    def seen_for(self, attempt_id: AttemptId, now: float) -> float:
-        """Return for how many seconds this router has seen the call in progress."""
+    def in_progress_for_s(self, attempt_id: AttemptId, now: float) -> float:
+        """Return the seconds since this router first read the call as in progress."""
         return now - self._first_seen.get(attempt_id, now)
 
-    def submit(self, work: Work) -> Work:
+    def submit(self, pending: PendingOperation) -> PendingOperation:
         """Queue an operation."""
-        if isinstance(work.operation, Begin):
-            self._live.add(work.operation.attempt_id)
-        self.post(work)
-        return work
+        if isinstance(pending.operation, Begin):
+            self._active_attempts.add(pending.operation.attempt_id)
+        self.post(pending)
+        return pending
 
-    def withdraw(self, work: Work) -> None:
-        """Take a ``Begin`` back that nobody waits for; it never counts as run."""
-        work.withdrawn = True
-        if work.reply.value is Verdict.RUN:
-            self._abandon(work)
+    def withdraw(self, pending: PendingOperation) -> None:
+        """Abandon a ``Begin`` whose caller no longer waits; the call is not run."""
+        pending.is_withdrawn = True
+        if pending.reply.value is Verdict.RUN:
+            self._abandon(pending)
 
     async def run(self) -> None:
-        """Commit batches until the shard is closed and all is written."""
-        async for work in self._receive:
-            self._pending.append(work)
+        """Commit batches until the shard is closed and all operations are written."""
+        async for pending in self._receive:
+            self._pending.append(pending)
             while self._pending:
                 self._take_queued()
                 await self._step()
 
     async def _step(self) -> None:
-        self._drop_withdrawn()
+        self._abandon_withdrawn()
         try:
-            if not self._fresh:
+            if not self._is_current:
                 await self._load()
             await self._commit()
             self._n_failed = 0
         except StoreConflictError:
-            self._fresh = False
+            self._is_current = False
             self.counts.n_conflicts += 1
             await self._pause(CONFLICT_PAUSE_S, MAX_CONFLICT_PAUSE_S)
         except StoreError:
-            # The write may have taken effect, now or later. Reading the head again
-            # and applying again settles it, since each operation looks for its own
-            # attempt id first.
-            self._fresh = False
+            # The write may take effect now or later. Reading the head and applying the
+            # operations again is safe, as each looks for its own attempt id first.
+            self._is_current = False
             self.counts.n_failures += 1
-            self._note_outage()
+            self._log_outage()
             await self._pause(CONFLICT_PAUSE_S * 4, MAX_PAUSE_S)
 
     async def _load(self) -> None:
         stored = await self._objects.head()
         version = None if stored is None else stored.version
-        if any(work.tried for work in self._pending):
+        if any(pending.may_be_written for pending in self._pending):
             self.counts.n_read_backs += 1
         if stored is not None and version != self._version:
             head = decode_stored(ShardHead, stored.value)
@@ -185,16 +185,16 @@
             self._state = ShardState(records, self._state.settled)
             self._head_bytes = len(stored.value)
         self._version = version
-        self._fresh = True
-        self._look_at_begun()
+        self._is_current = True
+        self._track_begun_calls()
 
     async def _load_segments(self, refs: tuple[SegmentRef, ...]) -> None:
         if refs == self._sealed:
             return
         segments = {}
         for ref in refs:
-            held = self._segments.get(ref.name)
-            segments[ref.name] = held or await self._objects.read_segment(ref)
+            current = self._segments.get(ref.name)
+            segments[ref.name] = current or await self._objects.read_segment(ref)
         settled = {}
         for ref in refs:
             settled.update({r.key: r for r in segments[ref.name].records})
@@ -202,51 +202,53 @@
         self._sealed = refs
         self._state = ShardState({}, settled)
 
-    def _look_at_begun(self) -> None:
-        """Note when each running call was first seen, and mend own stray records.
+    def _track_begun_calls(self) -> None:
+        """Track calls in progress, and abandon records of calls that were refused.
 
-        A write that was given up on can still land later. Its call was refused as not
-        run; without this, the record would say for good that it may have run.
+        A write that timed out can still take effect after its call was refused as not
+        run. Without this, its record would say forever that the call may have run.
         """
         now = trio.current_time()
-        seen = {}
+        first_seen = {}
         for record in self._state.records.values():
             if record.state is not CallState.BEGUN:
                 continue
-            seen[record.attempt_id] = self._first_seen.get(record.attempt_id, now)
-            mine = record.router == self._router and record.epoch == self._epoch
-            if mine and record.attempt_id not in self._live:
+            first_seen[record.attempt_id] = self._first_seen.get(record.attempt_id, now)
+            is_own = record.router == self._router and record.epoch == self._epoch
+            if is_own and record.attempt_id not in self._active_attempts:
                 stray = Abandon(record.key, record.attempt_id, ran=False)
-                # First in line, so that a repeat in the same batch may run.
-                self._pending.insert(0, Work(stray))
-        self._first_seen = seen
+                # At the front, so that a repeat in the same batch may run.
+                self._pending.insert(0, PendingOperation(stray))
+        self._first_seen = first_seen
 
     async def _commit(self) -> None:
         batch = self._pending[:MAX_BATCH]
-        for work in batch:
-            await self._objects.write_answer(work.operation.attempt_id, work.body)
-            work.body = b""
+        for pending in batch:
+            await self._objects.write_answer(pending.operation.attempt_id, pending.body)
+            pending.body = b""
         draft, verdicts = self._apply(batch)
         if any(map(_needs_read, batch, verdicts)):
-            for work in batch:
-                work.read = True
+            for pending in batch:
+                pending.is_head_read = True
             await self._load()
             batch = self._pending[:MAX_BATCH]
             draft, verdicts = self._apply(batch)
         if draft.records != self._state.records:
-            for work in batch:
-                work.tried = True
+            for pending in batch:
+                pending.may_be_written = True
             await self._write_head(draft)
         self._state = ShardState(draft.records, self._state.settled)
         self._pending = self._pending[len(batch) :]
-        self._look_at_new(draft)
-        for work, verdict in zip(batch, verdicts, strict=True):
-            self._settle(work, verdict)
+        self._track_new_calls(draft)
+        for pending, verdict in zip(batch, verdicts, strict=True):
+            self._complete(pending, verdict)
 
-    def _apply(self, batch: list[Work]) -> tuple[ShardState, list[Verdict | None]]:
-        held = self._state
-        draft = ShardState(dict(held.records), held.settled, self._is_full())
-        return draft, [draft.apply(work.operation) for work in batch]
+    def _apply(
+        self, batch: list[PendingOperation]
+    ) -> tuple[ShardState, list[Verdict | None]]:
+        current = self._state
+        draft = ShardState(dict(current.records), current.settled, self._is_full())
+        return draft, [draft.apply(pending.operation) for pending in batch]
 
     async def _write_head(self, draft: ShardState) -> None:
         data = to_cbor(ShardHead(tuple(draft.records.values()), self._sealed))
@@ -266,7 +268,7 @@
         split = split_for_seal(
             draft.records.values(), draft.settled, now - LOST_ROUTER_S
         )
-        # With nothing settled an empty segment would be made at every write.
+        # Avoids an empty segment at every write while no record is settled.
         if not split.settled:
             await self._put_head(to_cbor(ShardHead(split.kept, self._sealed)))
             return
@@ -286,34 +288,34 @@
         eliot.log_message(message_type="journal:sealed", shard=self.folder)
         await self._objects.delete(gone, dropped)
 
-    def _look_at_new(self, draft: ShardState) -> None:
+    def _track_new_calls(self, draft: ShardState) -> None:
         now = trio.current_time()
         for record in draft.records.values():
             if record.state is CallState.BEGUN:
                 self._first_seen.setdefault(record.attempt_id, now)
 
-    def _settle(self, work: Work, verdict: Verdict | None) -> None:
+    def _complete(self, pending: PendingOperation, verdict: Verdict | None) -> None:
         self.counts.n_operations += 1
-        attempt_id = work.operation.attempt_id
-        if not isinstance(work.operation, Begin) or verdict is not Verdict.RUN:
-            self._live.discard(attempt_id)
-        elif work.withdrawn:
-            self._abandon(work)
-        work.reply.set(verdict or Verdict.RUN)
-
-    def _drop_withdrawn(self) -> None:
-        for work in [work for work in self._pending if work.withdrawn]:
-            self._pending.remove(work)
-            self._abandon(work)
-
-    def _abandon(self, work: Work) -> None:
-        """Take back a ``Begin``; only one that may be in the store needs a write."""
-        operation = work.operation
+        attempt_id = pending.operation.attempt_id
+        if not isinstance(pending.operation, Begin) or verdict is not Verdict.RUN:
+            self._active_attempts.discard(attempt_id)
+        elif pending.is_withdrawn:
+            self._abandon(pending)
+        pending.reply.set(verdict or Verdict.RUN)
+
+    def _abandon_withdrawn(self) -> None:
+        for pending in [pending for pending in self._pending if pending.is_withdrawn]:
+            self._pending.remove(pending)
+            self._abandon(pending)
+
+    def _abandon(self, pending: PendingOperation) -> None:
+        """Undo a ``Begin``; needs a write only if it may be in the store."""
+        operation = pending.operation
         assert isinstance(operation, Begin)
-        self._live.discard(operation.attempt_id)
-        if work.tried:
+        self._active_attempts.discard(operation.attempt_id)
+        if pending.may_be_written:
             undo = Abandon(operation.record.key, operation.attempt_id, ran=False)
-            self.post(Work(undo))
+            self.post(PendingOperation(undo))
 
     def _take_queued(self) -> None:
         try:
@@ -332,21 +334,23 @@
             return True
         return self._head_bytes > self._cfg.seal_bytes and not self._may_seal()
 
-    async def _pause(self, first_s: float, most_s: float) -> None:
+    async def _pause(self, first_s: float, max_s: float) -> None:
         self._n_failed += 1
-        longest = min(most_s, first_s * 2 ** min(self._n_failed, 10))
+        longest = min(max_s, first_s * 2 ** min(self._n_failed, 10))
         await trio.sleep(self._rng.uniform(0, longest))
 
-    def _note_outage(self) -> None:
+    def _log_outage(self) -> None:
         if self._n_failed == 0:
             eliot.log_message(message_type="journal:store_failing", shard=self.folder)
 
 
-def _needs_read(work: Work, verdict: Verdict | None) -> bool:
-    """Return whether a verdict rests on what may be out of date.
+def _needs_read(pending: PendingOperation, verdict: Verdict | None) -> bool:
+    """Return whether a verdict depends on a cached head that may be outdated.
 
-    A verdict to run is proved by the conditional update, and an answer never changes.
-    The others are not followed by a write, so nothing would tell that another router
-    has written the answer since.
+    A verdict to run is confirmed by the conditional update, and an answer never
+    changes. The other verdicts cause no write that would detect an answer written by
+    another router since.
     """
-    return verdict not in (None, Verdict.RUN, Verdict.EARLIER) and not work.read
+    return (
+        verdict not in (None, Verdict.RUN, Verdict.EARLIER) and not pending.is_head_read
+    )
--- a/packages/corianderlb-router/src/corianderlb_router/call_journal.py
+++ b/packages/corianderlb-router/src/corianderlb_router/call_journal.py
@@ -1,8 +1,8 @@
 """The journal of non-repeatable calls, kept in the platform's store.
 
-A sign-off that ran twice bills a buyer twice. So a call's record is in the store
-before its first byte goes upstream, and whoever finds a record does not run the call:
-it gets the first answer, or is told honestly that the outcome is open.
+A call that runs twice may bill a buyer twice. Its record is therefore in the store
+before its first byte is sent upstream. A repeat that finds a record is not run: it gets
+the first answer, or a refusal saying that the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -38,24 +38,25 @@
 
 from ._future import Future
 from ._journal_object import CHUNK_BYTES, chunk_key, decode_stored
-from ._journal_shard import JournalShard, Work
+from ._journal_shard import JournalShard, PendingOperation
 from .interface import BegunCall, CallAnswer, CallJournal, EarlierAnswer, PeerNetwork
 from .store import ObjectStore, StoreError
 
 SEND_WINDOW_S: Final = 10.0
-"""How long after the record a call's first byte may leave; far below the retention."""
+"""Seconds after the record within which a call's first byte may be sent; far below the
+retention."""
 
 STORE_RETRY_S: Final = 2.0
-"""When to come back after the store failed."""
+"""Seconds after which to repeat a request when the store failed."""
 
 PROGRESS_RETRY_S: Final = 1.0
-"""When to come back while the first run goes on."""
+"""Seconds after which to repeat a request while the first one is in progress."""
 
 FULL_RETRY_S: Final = 60.0
-"""When to come back while a shard has no room."""
+"""Seconds after which to repeat a request while its shard is full."""
 
 DRAIN_POLL_S: Final = 0.02
-"""Pause between two looks at what is still unwritten."""
+"""Seconds between two checks for unwritten operations."""
 
 _REFUSALS: Final = {
     Verdict.IN_PROGRESS: Refusal(
@@ -79,7 +80,7 @@
     ),
 }
 
-_STORE_DOWN: Final = Refusal(
+_NOT_RECORDED: Final = Refusal(
     ResultCode.STORE_UNAVAILABLE,
     "this request was not run, since it could not be recorded; "
     "repeat it with the same key",
@@ -95,17 +96,17 @@
 
 @dataclass
 class _Run:
-    """Hold a call that this router runs, until its end is written."""
+    """A call that this router runs, kept until its end is written."""
 
     answer: Future[CallAnswer | None] = field(default_factory=Future)
-    end: Work | None = None
+    end: PendingOperation | None = None
 
 
 class StoreCallJournal(CallJournal):
-    """Run a call at most once over all routers that share a store.
+    """Runs a call at most once over all routers that share a store.
 
-    ``run`` has to be running for ``begin`` to get an answer; one life of a router
-    makes one journal, with its own epoch.
+    ``begin`` completes only while ``run`` is running. Each incarnation of a router has
+    one journal, with its own epoch.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
             JournalShard(n, store, self._cfg, router, epoch, wall_clock, rng)
             for n in range(self._cfg.n_shards)
         )
-        """The shards, by number; their ``counts`` are for metrics."""
+        """The shards by number; their ``counts`` are exported as metrics."""
         self._running: dict[AttemptId, _Run] = {}
 
     async def run(self) -> None:
@@ -139,17 +140,18 @@
                 nursery.start_soon(shard.run)
 
     async def drain(self) -> None:
-        """Wait until everything is written; bound it, since the store may be down."""
+        """Wait until all operations are written; needs a timeout, as the store may be
+        down."""
         while any(shard.n_pending for shard in self.shards):
             await trio.sleep(DRAIN_POLL_S)
 
     async def begin(
         self, facts: RequestFacts, key: str
     ) -> BegunCall | EarlierAnswer | Refusal:
-        """Record the call before its first byte goes upstream.
+        """Record the call before its first byte is sent upstream.
 
         A repeat on the router that runs the call waits a bounded time for the answer;
-        elsewhere it is told at once to come back.
+        on other routers it is refused at once and may be repeated later.
         """
         record = self._record(facts, key)
         wait_until = min(facts.deadline, trio.current_time() + self._cfg.repeat_wait_s)
@@ -158,41 +160,41 @@
             if answer is not None:
                 return EarlierAnswer(answer)
         shard = self._shard(record.key)
-        held = shard.find(record.key)
-        verdict = judge(held, record.digest) if held is not None else Verdict.RUN
-        if held is None or held.state is not CallState.FINISHED:
-            asked = await self._ask(shard, record, facts.deadline)
-            if asked is None:
-                # What this router last saw is worth more to the caller than "not
-                # run", which would not be true of the call that it saw begun.
-                return self._refusal(shard, record.key, verdict, _STORE_DOWN)
-            verdict = asked
+        known = shard.find(record.key)
+        verdict = judge(known, record.digest) if known is not None else Verdict.RUN
+        if known is None or known.state is not CallState.FINISHED:
+            store_verdict = await self._submit_begin(shard, record, facts.deadline)
+            if store_verdict is None:
+                # Answer from the last known record: "not run" would be wrong for a
+                # call that this router knows to have begun.
+                return self._refusal(shard, record.key, verdict, _NOT_RECORDED)
+            verdict = store_verdict
         if verdict is Verdict.RUN:
-            return self._begun(record)
+            return self._start_call(record)
         if verdict is Verdict.EARLIER:
-            return await self._earlier(shard, record.key)
-        return self._refusal(shard, record.key, verdict, _STORE_DOWN)
+            return await self._earlier_answer(shard, record.key)
+        return self._refusal(shard, record.key, verdict, _NOT_RECORDED)
 
     async def finish(self, call: BegunCall, answer: CallAnswer) -> None:
-        """Record the answer; wait for the write a bounded time.
+        """Record the answer and wait a bounded time for the write.
 
-        The shard goes on trying after that. If this router dies first, a repeat is
-        told that the outcome is unknown, which is then true for all anyone knows.
+        The shard continues to retry after that. If this router dies first, a repeat is
+        refused because the outcome is unknown.
         """
         stored, body = self._stored(answer)
-        work = Work(Finish(call.key, call.attempt_id, stored), body=body)
-        await self._settle(call, work, answer)
+        pending = PendingOperation(Finish(call.key, call.attempt_id, stored), body=body)
+        await self._record_end(call, pending, answer)
 
     async def abandon(self, call: BegunCall, ran: bool) -> None:
-        """Record that no answer came; with ``ran`` false the key may begin again."""
-        work = Work(Abandon(call.key, call.attempt_id, ran))
-        await self._settle(call, work, None)
+        """Record that there is no answer; if ``ran`` is false the key may run again."""
+        pending = PendingOperation(Abandon(call.key, call.attempt_id, ran))
+        await self._record_end(call, pending, None)
 
     def _stored(self, answer: CallAnswer) -> tuple[StoredAnswer, bytes]:
-        """Return the answer as its record holds it, and what goes into own objects.
+        """Return the answer for the record, and the data for separate objects.
 
-        Headers count as well: a batch of answers with long ones would make a head that
-        the store does not take, and no call of the shard could end any more.
+        The size includes headers: a batch of answers with long headers could exceed the
+        store's object size, and no call of the shard could complete any more.
         """
         n_header_bytes = sum(len(name) + len(text) for name, text in answer.headers)
         if n_header_bytes + len(answer.body) <= self._cfg.inline_bytes:
@@ -213,47 +215,47 @@
     def _shard(self, key: bytes) -> JournalShard:
         return self.shards[shard_of(key, len(self.shards))]
 
-    async def _ask(
+    async def _submit_begin(
         self, shard: JournalShard, record: CallRecord, deadline: float
     ) -> Verdict | None:
-        """Return the shard's verdict, or None when the store gave none in time."""
+        """Return the shard's verdict, or None if the store did not answer in time."""
         until = min(deadline, trio.current_time() + self._cfg.begin_timeout_s)
-        work = shard.submit(Work(Begin(record)))
+        pending = shard.submit(PendingOperation(Begin(record)))
         verdict = None
         try:
             with trio.move_on_at(until):
-                verdict = await work.reply.wait()
+                verdict = await pending.reply.wait()
         finally:
-            # Also when the caller hung up: a record that nobody will run must not
-            # stay, or a repeat would hear of an unknown outcome.
+            # Also after a cancellation: the record of a call that will not run must not
+            # stay, or a repeat would be refused because of an unknown outcome.
             if verdict is None:
-                shard.withdraw(work)
+                shard.withdraw(pending)
         return verdict
 
-    def _begun(self, record: CallRecord) -> BegunCall:
-        self._forget_written()
+    def _start_call(self, record: CallRecord) -> BegunCall:
+        self._drop_written()
         self._running[record.attempt_id] = _Run()
         send_before = trio.current_time() + SEND_WINDOW_S
         return BegunCall(record.attempt_id, record.key, send_before)
 
     async def _answer_of_run_here(self, record: CallRecord) -> CallAnswer | None:
-        held = self._shard(record.key).find(record.key)
-        if held is None or held.digest != record.digest:
+        known = self._shard(record.key).find(record.key)
+        if known is None or known.digest != record.digest:
             return None
-        running = self._running.get(held.attempt_id)
+        running = self._running.get(known.attempt_id)
         return None if running is None else await running.answer.wait()
 
-    async def _earlier(
+    async def _earlier_answer(
         self, shard: JournalShard, key: bytes
     ) -> EarlierAnswer | Refusal:
-        held = shard.find(key)
-        if held is None or held.answer is None:
+        known = shard.find(key)
+        if known is None or known.answer is None:
             return _REFUSALS[Verdict.UNKNOWN]
-        stored = held.answer
+        stored = known.answer
         if not stored.n_chunks:
             return EarlierAnswer(CallAnswer(stored.status, stored.headers, stored.body))
         try:
-            return await self._long_answer(held.attempt_id, stored.n_chunks)
+            return await self._long_answer(known.attempt_id, stored.n_chunks)
         except StoreError:
             return _ANSWER_UNREADABLE
 
@@ -276,33 +278,33 @@
         return _REFUSALS.get(verdict, otherwise)
 
     def _in_doubt(self, shard: JournalShard, key: bytes) -> bool:
-        held = shard.find(key)
-        if held is None or held.state is not CallState.BEGUN:
+        known = shard.find(key)
+        if known is None or known.state is not CallState.BEGUN:
             return False
-        if held.attempt_id in self._running:
+        if known.attempt_id in self._running:
             return False
         members = self._network.members() if self._network is not None else ()
         return in_doubt(
-            held,
+            known,
             {member.instance: member.epoch for member in members},
-            shard.seen_for(held.attempt_id, trio.current_time()),
+            shard.in_progress_for_s(known.attempt_id, trio.current_time()),
             self._cfg.owner_grace_s,
             self._cfg.in_doubt_s,
         )
 
-    async def _settle(
-        self, call: BegunCall, work: Work, answer: CallAnswer | None
+    async def _record_end(
+        self, call: BegunCall, pending: PendingOperation, answer: CallAnswer | None
     ) -> None:
-        """Write down how the call ended; until it is written, repeats here know."""
-        self._shard(call.key).submit(work)
+        """Record the end of a call, and pass it to repeats that wait on this router."""
+        self._shard(call.key).submit(pending)
         run = self._running.get(call.attempt_id)
         if run is not None:
-            run.end = work
+            run.end = pending
             run.answer.set(answer)
         with trio.move_on_after(self._cfg.finish_wait_s):
-            await work.reply.wait()
+            await pending.reply.wait()
 
-    def _forget_written(self) -> None:
+    def _drop_written(self) -> None:
         written = [
             attempt_id
             for attempt_id, run in self._running.items()
