--- a/packages/corianderlb-router/src/corianderlb_router/load_gossip.py
+++ b/packages/corianderlb-router/src/corianderlb_router/load_gossip.py
@@ -1,8 +1,8 @@
-"""Spread what routers know of the upstream instances: loads, lives and hot prefixes.
+"""Gossip between routers about upstream loads, incarnations and hot prefixes.
 
-Each router sends its peers a vector of all loads it read or heard, with their ages, and
-takes from their vectors what is newer than its own. News of a life go at once and are
-passed on by whoever learns them first.
+Each router sends its peers a vector of all loads that it has read or received, with
+their ages, and merges newer ones from their vectors. A new incarnation is announced at
+once, and forwarded once by each router that learns of it.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
 from .interface import PeerNetwork, UpstreamInstance
 from .upstream_directory import PlatformDirectory
 
-N_HOT: Final = 16
-"""Hot prefixes of an upstream that are sent at a time."""
+MAX_HOT_PREFIXES: Final = 16
+"""Maximum number of hot prefixes per upstream in a message."""
 
-HOT_REPEAT_S: Final = 10.0
-"""How often hot prefixes are sent although nothing about them changed."""
+HOT_RESEND_S: Final = 10.0
+"""Seconds after which unchanged hot prefixes are sent again."""
 
-FRAME_BYTES: Final = 60
-"""About what a message takes besides its entries."""
+MESSAGE_OVERHEAD_BYTES: Final = 60
+"""Approximate size of a message without its entries."""
 
 JITTER: Final = 0.2
-"""Share by which a wait is shortened or lengthened."""
+"""Largest relative deviation of an interval from its mean."""
 
 MIN_NEWER_S: Final = 0.05
-"""A heard report must be newer by this: an age is a rounded figure."""
+"""A received report must be newer by this much, since ages are rounded."""
 
 
 class LoadGossip:
-    """Exchange loads, lives and hot prefixes with the peers, until cancelled."""
+    """Exchanges loads, incarnations and hot prefixes with the peers."""
 
     def __init__(
         self,
@@ -64,53 +64,55 @@
         self._clock = clock
         self._hot_sent: dict[str, tuple[float, dict[bytes, int]]] = {}
         self.n_bytes = 0
-        """Bytes of vectors and hot prefixes sent, over all peers."""
+        """Bytes of vectors and hot prefixes sent to all peers."""
         self.n_unfit = 0
-        """Vectors heard over another list of instances."""
+        """Vectors received that are based on another list of instances."""
         peers.subscribe(LoadVector, self.on_load_vector)
         peers.subscribe(HotPrefixes, self.on_hot_prefixes)
         peers.subscribe(UpstreamLife, self.on_upstream_life)
 
     async def run(self) -> None:
-        """Send in rounds until cancelled."""
+        """Send to the peers at intervals until cancelled."""
         while True:
             n_bytes = self.send()
-            needed_s = n_bytes / self._cfg.gossip_budget
-            interval_s = max(self._cfg.gossip_min_s, needed_s)
+            budgeted_s = n_bytes / self._cfg.gossip_budget
+            interval_s = max(self._cfg.gossip_min_s, budgeted_s)
             await trio.sleep(interval_s * self._rng.uniform(1 - JITTER, 1 + JITTER))
 
     def send(self) -> int:
-        """Send one round to the peers and return its bytes."""
+        """Send loads and hot prefixes to the peers; return the bytes sent."""
         instances = self._directory.in_region(self._region)
         n_bytes = 0
         if instances:
             packed = load_vector.pack([self._sample(found) for found in instances])
             message = LoadVector(_digest(instances), packed)
-            n_bytes += self._peers.broadcast(message) * (len(packed) + FRAME_BYTES)
+            n_bytes += self._peers.broadcast(message) * (
+                len(packed) + MESSAGE_OVERHEAD_BYTES
+            )
         for upstream in {found.upstream for found in instances}:
-            n_bytes += self._send_hot(upstream)
+            n_bytes += self._send_hot_prefixes(upstream)
         self.n_bytes += n_bytes
         return n_bytes
 
     async def on_load_vector(self, sender: InstanceId, message: LoadVector) -> None:
-        """Take the reports of a peer that are newer than ours."""
+        """Merge those reports of a peer that are newer than the local ones."""
         instances = self._directory.in_region(self._region)
         samples = load_vector.unpack(message.packed, len(instances))
         if samples is None or message.digest != _digest(instances):
-            # The platform's list has not reached both of us yet.
+            # The two routers have different revisions of the platform's list.
             self.n_unfit += 1
             return
         for found, sample in zip(instances, samples, strict=True):
             if sample is not None:
-                self._take(found, sample, len(instances))
+                self._merge_sample(found, sample, len(instances))
 
     async def on_hot_prefixes(self, sender: InstanceId, message: HotPrefixes) -> None:
-        """Take what a peer found hot."""
+        """Merge the hot prefixes of a peer."""
         hot = unpack_hot(message.packed)
         self._policy.hear_hot(message.upstream, hot, self._clock())
 
     async def on_upstream_life(self, sender: InstanceId, message: UpstreamLife) -> None:
-        """Drop what belongs to an older life; the directory passes the news on."""
+        """Discard the state of an older incarnation; the directory forwards this."""
         self._directory.observe_epoch(message.instance, message.epoch)
 
     def _sample(self, found: UpstreamInstance) -> LoadSample | None:
@@ -121,17 +123,17 @@
         age_s = self._clock() - found.reported_at
         return LoadSample(found.epoch, report.queued_prefill_s, n_outstanding, age_s)
 
-    def _take(
+    def _merge_sample(
         self, found: UpstreamInstance, sample: LoadSample, n_instances: int
     ) -> None:
         made_at = self._clock() - sample.age_s
         if found.report is not None and made_at < found.reported_at + MIN_NEWER_S:
             return
         detailed = load_vector.is_detailed(n_instances)
-        mark = load_vector.epoch_mark(found.epoch, detailed)
-        if found.epoch and mark != sample.epoch_mark:
-            # It is about another life than the one known here, which shows when the
-            # news of a new life and the vector crossed.
+        known_mark = load_vector.epoch_mark(found.epoch, detailed)
+        if found.epoch and known_mark != sample.epoch_mark:
+            # The sample is of another incarnation: the vector was sent before the
+            # sender learned of the new one.
             return
         report = dataclasses.replace(
             found.report or LoadReport(found.epoch),
@@ -141,20 +143,20 @@
         )
         self._directory.take_report(found.instance, report, made_at)
 
-    def _send_hot(self, upstream: str) -> int:
+    def _send_hot_prefixes(self, upstream: str) -> int:
         now = self._clock()
-        hot = self._policy.hottest(upstream, N_HOT, now)
-        if not hot or not self._is_news(upstream, hot, now):
+        hot = self._policy.hottest(upstream, MAX_HOT_PREFIXES, now)
+        if not hot or not self._is_due(upstream, hot, now):
             return 0
         packed = pack_hot(hot)
         n_peers = self._peers.broadcast(HotPrefixes(upstream, packed))
-        return n_peers * (len(packed) + FRAME_BYTES)
+        return n_peers * (len(packed) + MESSAGE_OVERHEAD_BYTES)
 
-    def _is_news(self, upstream: str, hot: tuple[HotPrefix, ...], now: float) -> bool:
+    def _is_due(self, upstream: str, hot: tuple[HotPrefix, ...], now: float) -> bool:
         widths = {item.short_key: item.width for item in hot}
-        sent_at, sent = self._hot_sent.get(upstream, (now - HOT_REPEAT_S, {}))
+        sent_at, sent = self._hot_sent.get(upstream, (now - HOT_RESEND_S, {}))
         known = all(sent.get(key) == width for key, width in widths.items())
-        if known and now < sent_at + HOT_REPEAT_S:
+        if known and now < sent_at + HOT_RESEND_S:
             return False
         self._hot_sent[upstream] = (now, widths)
         return True
--- a/packages/corianderlb-router/src/corianderlb_router/upstream_directory.py
+++ b/packages/corianderlb-router/src/corianderlb_router/upstream_directory.py
@@ -1,8 +1,8 @@
-"""Know the instances of the upstreams from the platform's list and from their words.
+"""Directory of upstream instances, from the platform's list and their own reports.
 
-The list lags, and a process can come back empty under its old address. So everything
-known about an instance is kept for one life of it, and a life that was seen leaving
-stays leaving, whatever an old list says.
+The list lags, and a process can restart with an empty cache under its old address. All
+state of an instance therefore belongs to one incarnation, and an incarnation that was
+seen leaving stays leaving even if an outdated list has it as live.
 """
 
 from __future__ import annotations
@@ -33,51 +33,53 @@
 from .store import InstanceList
 
 MAX_LEAVING: Final = 8192
-"""Lives remembered as leaving; the oldest is forgotten first, so memory is bounded."""
+"""Incarnations remembered as leaving; bounds memory, the oldest is dropped first."""
 
 
-def _nothing(news: object) -> None:
-    """Take news that nobody asked for."""
+def _ignore(announced: object) -> None:
+    """Ignore an announcement; the default callback."""
 
 
 @dataclass
-class _Known:
+class _Entry:
+    """State of one listed instance."""
+
     record: InstanceRecord
     load: InstanceLoad
     retired: bool = False
 
 
 class PlatformDirectory(UpstreamDirectory):
-    """Hold the upstream instances of the newest list, each with its newest life.
+    """Upstream instances of the newest list, each with its newest incarnation.
 
-    ``announce`` is called once for each life that is found leaving here, and for each
-    new life that took an old one's place, to spread it;
-    ``on_life_ended`` for each life that is over, so that others forget it too.
+    ``announce`` is called once for each incarnation that is found to be leaving and for
+    each one that replaces an older one. ``on_life_ended`` is called for each
+    incarnation that has ended, so that other components drop their state of it.
     """
 
     def __init__(
         self,
-        announce: Callable[[UpstreamLeaving | UpstreamLife], object] = _nothing,
-        on_life_ended: Callable[[Incarnation], object] = _nothing,
+        announce: Callable[[UpstreamLeaving | UpstreamLife], object] = _ignore,
+        on_life_ended: Callable[[Incarnation], object] = _ignore,
         clock: Callable[[], float] = trio.current_time,
     ) -> None:
         self._announce = announce
         self.on_life_ended = on_life_ended
         self._clock = clock
         self._revision = -1
-        self._known: dict[InstanceId, _Known] = {}
+        self._entries: dict[InstanceId, _Entry] = {}
         self._leaving: OrderedDict[Incarnation, None] = OrderedDict()
         self._sets: dict[str, InstanceSet] = {}
-        self._outdated: set[str] = set()
+        self._stale_sets: set[str] = set()
         self._generation = 0
 
     @property
     def revision(self) -> int:
-        """Revision of the newest list that was taken; -1 before the first."""
+        """Revision of the newest applied list; -1 before the first."""
         return self._revision
 
     def apply_list(self, listed: InstanceList) -> bool:
-        """Take the platform's list; return False for one older than the last."""
+        """Apply the platform's list; return False if it is older than the last one."""
         if listed.revision < self._revision:
             return False
         self._revision = listed.revision
@@ -86,44 +88,44 @@
             for record in listed.instances
             if record.role is Role.UPSTREAM
         }
-        for instance in [name for name in self._known if name not in records]:
-            self.on_life_ended(self._known.pop(instance).load.incarnation)
+        for instance in [name for name in self._entries if name not in records]:
+            self.on_life_ended(self._entries.pop(instance).load.incarnation)
         for record in records.values():
-            self._take_record(record)
-        self._changed()
+            self._apply_record(record)
+        self._invalidate_sets()
         return True
 
     def instances(self, upstream: str) -> Sequence[UpstreamInstance]:
         """Return the instances of an upstream, usable or not."""
         return [
-            self._view(known)
-            for known in self._known.values()
-            if known.record.upstream == upstream
+            self._instance_of(entry)
+            for entry in self._entries.values()
+            if entry.record.upstream == upstream
         ]
 
     def find(self, instance: InstanceId) -> UpstreamInstance | None:
         """Return one instance, or None when no list names it."""
-        known = self._known.get(instance)
-        return self._view(known) if known else None
+        entry = self._entries.get(instance)
+        return self._instance_of(entry) if entry else None
 
     def in_region(self, region: str) -> list[UpstreamInstance]:
-        """Return the instances of a region, of all upstreams, in order of name."""
+        """Return the instances of all upstreams in a region, sorted by name."""
         return [
-            self._view(known)
-            for _, known in sorted(self._known.items())
-            if known.record.region == region
+            self._instance_of(entry)
+            for _, entry in sorted(self._entries.items())
+            if entry.record.region == region
         ]
 
     def usable(self, upstream: str) -> InstanceSet:
-        """Return the instances that may get new work, as placement takes them."""
+        """Return the instances that may receive new requests, for placement."""
         found = self._sets.get(upstream)
-        if found is not None and upstream not in self._outdated:
+        if found is not None and upstream not in self._stale_sets:
             return found
-        self._outdated.discard(upstream)
+        self._stale_sets.discard(upstream)
         loads = tuple(
-            known.load
-            for known in self._known.values()
-            if known.record.upstream == upstream and self._is_usable(known)
+            entry.load
+            for entry in self._entries.values()
+            if entry.record.upstream == upstream and self._is_usable(entry)
         )
         if found is None or found.instances != loads:
             self._generation += 1
@@ -132,9 +134,9 @@
         return found
 
     def shortest_wait_s(self, facts: RequestFacts) -> float:
-        """Return the least estimated wait at the instances that could take a request.
+        """Return the shortest estimated wait among the instances usable for a request.
 
-        It is 0 for urgent requests: engines serve them before what waits there.
+        It is 0 for urgent requests, which engines serve ahead of their queues.
         """
         if facts.service_class is ServiceClass.URGENT:
             return 0.0
@@ -143,50 +145,50 @@
         return min((load.wait_s(now) for load in loads), default=0.0)
 
     def load_of(self, incarnation: Incarnation) -> InstanceLoad | None:
-        """Return the load of one life, or None when a newer one took its place."""
-        known = self._known.get(incarnation.instance)
-        if known is None or known.load.incarnation != incarnation:
+        """Return the load of an incarnation, or None if it is not the current one."""
+        entry = self._entries.get(incarnation.instance)
+        if entry is None or entry.load.incarnation != incarnation:
             return None
-        return known.load
+        return entry.load
 
     def observe_epoch(self, instance: InstanceId, epoch: int) -> None:
-        """Take note of the epoch in an answer; a newer one drops the old knowledge."""
-        known = self._known.get(instance)
-        if known is None or epoch <= known.load.incarnation.epoch:
+        """Record an epoch from an answer; a newer one discards the old state."""
+        entry = self._entries.get(instance)
+        if entry is None or epoch <= entry.load.incarnation.epoch:
             return
-        ended = known.load.incarnation
-        born_at = self._clock() if ended.epoch else -math.inf
-        known.load = InstanceLoad(
-            Incarnation(instance, epoch), known.record.zone, born_at
+        previous = entry.load.incarnation
+        born_at = self._clock() if previous.epoch else -math.inf
+        entry.load = InstanceLoad(
+            Incarnation(instance, epoch), entry.record.zone, born_at
         )
-        known.retired = False
-        if known.record.presence is Presence.LEAVING:
-            self._remember_leaving(known.load.incarnation)
-        if ended.epoch:
+        entry.retired = False
+        if entry.record.presence is Presence.LEAVING:
+            self._remember_leaving(entry.load.incarnation)
+        if previous.epoch:
             eliot.log_message(
                 message_type="upstream:new_life", instance=instance, epoch=epoch
             )
             self._announce(UpstreamLife(instance, epoch))
-        self.on_life_ended(ended)
-        self._changed()
+        self.on_life_ended(previous)
+        self._invalidate_sets()
 
     def take_report(
         self, instance: InstanceId, report: LoadReport, made_at: float
     ) -> None:
-        """Take a load report that was made at a time on this router's clock."""
+        """Apply a load report created at ``made_at`` on this router's clock."""
         self.observe_epoch(instance, report.epoch)
-        known = self._known.get(instance)
-        if known is None:
+        entry = self._entries.get(instance)
+        if entry is None:
             return
-        known.load.take_report(report, made_at, self._clock())
+        entry.load.take_report(report, made_at, self._clock())
         if report.leaving:
             self.mark_leaving(instance, report.epoch)
 
     def mark_leaving(self, instance: InstanceId, epoch: int) -> None:
-        """Stop new work to this life of the instance, and tell the peers.
+        """Stop new requests to this incarnation and announce that to the peers.
 
-        The life may be one that never answered here: it is known from now on, or it
-        would go on as a life without a name and get new work.
+        The incarnation may never have answered this router. Its epoch is recorded
+        first; otherwise it would stay usable under an unknown epoch.
         """
         self.observe_epoch(instance, epoch)
         if self._remember_leaving(Incarnation(instance, epoch)):
@@ -195,24 +197,24 @@
     async def on_upstream_leaving(
         self, sender: InstanceId, message: UpstreamLeaving
     ) -> None:
-        """Take a peer's word that a life is leaving; it is passed on once."""
+        """Apply a peer's announcement of a leaving incarnation; forward it once."""
         self.mark_leaving(message.instance, message.epoch)
 
     def set_retired(self, instance: InstanceId, retired: bool) -> None:
-        """Make an instance unusable after failures, or usable again once proved."""
-        known = self._known.get(instance)
-        if known is not None and known.retired is not retired:
-            known.retired = retired
-            self._changed()
-
-    def _take_record(self, record: InstanceRecord) -> None:
-        known = self._known.get(record.instance)
-        if known is None:
+        """Mark an instance unusable after failures, or usable after a passed probe."""
+        entry = self._entries.get(instance)
+        if entry is not None and entry.retired is not retired:
+            entry.retired = retired
+            self._invalidate_sets()
+
+    def _apply_record(self, record: InstanceRecord) -> None:
+        entry = self._entries.get(record.instance)
+        if entry is None:
             load = InstanceLoad(Incarnation(record.instance, 0), record.zone)
-            known = self._known[record.instance] = _Known(record, load)
-        known.record = record
+            entry = self._entries[record.instance] = _Entry(record, load)
+        entry.record = record
         if record.presence is Presence.LEAVING:
-            self._remember_leaving(known.load.incarnation)
+            self._remember_leaving(entry.load.incarnation)
 
     def _remember_leaving(self, incarnation: Incarnation) -> bool:
         if incarnation in self._leaving:
@@ -220,7 +222,7 @@
         self._leaving[incarnation] = None
         if len(self._leaving) > MAX_LEAVING:
             self._leaving.popitem(last=False)
-        self._changed()
+        self._invalidate_sets()
         eliot.log_message(
             message_type="upstream:leaving",
             instance=incarnation.instance,
@@ -228,23 +230,23 @@
         )
         return True
 
-    def _is_usable(self, known: _Known) -> bool:
-        if known.retired or known.record.presence is Presence.LEAVING:
+    def _is_usable(self, entry: _Entry) -> bool:
+        if entry.retired or entry.record.presence is Presence.LEAVING:
             return False
-        return known.load.incarnation not in self._leaving
+        return entry.load.incarnation not in self._leaving
 
-    def _changed(self) -> None:
-        """Have the sets made anew where the next look finds that they differ."""
-        self._outdated.update(self._sets)
+    def _invalidate_sets(self) -> None:
+        """Mark all instance sets stale, so that the next read rebuilds them."""
+        self._stale_sets.update(self._sets)
 
-    def _view(self, known: _Known) -> UpstreamInstance:
+    def _instance_of(self, entry: _Entry) -> UpstreamInstance:
         return UpstreamInstance(
-            instance=known.record.instance,
-            upstream=known.record.upstream,
-            address=known.record.address,
-            zone=known.record.zone,
-            epoch=known.load.incarnation.epoch,
-            usable=self._is_usable(known),
-            report=known.load.report,
-            reported_at=known.load.reported_at,
+            instance=entry.record.instance,
+            upstream=entry.record.upstream,
+            address=entry.record.address,
+            zone=entry.record.zone,
+            epoch=entry.load.incarnation.epoch,
+            usable=self._is_usable(entry),
+            report=entry.load.report,
+            reported_at=entry.load.reported_at,
         )
--- a/packages/corianderlb-router/src/corianderlb_router/upstream_reader.py
+++ b/packages/corianderlb-router/src/corianderlb_router/upstream_reader.py
@@ -1,8 +1,8 @@
-"""Read the load of the upstream instances, each by one router of the region.
+"""Reads load reports from the upstream instances, each by one router of the region.
 
-The reader of an instance is its rendezvous home among the region's live routers, so
-that the reading moves by itself when a router goes. A router that sees no others reads
-all. How often is bounded by bytes: with more instances each is read less often.
+Rendezvous hashing assigns each instance to one of the region's live routers, so its
+reads move to another router when that one leaves. A router without live peers reads all
+instances. A byte budget bounds the traffic: the interval grows with their number.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 from .upstream_directory import PlatformDirectory
 
 LOAD_PATH: Final = "/control/load"
-"""Where an upstream instance reports its load."""
+"""HTTP path of an upstream instance's load report."""
 
-READ_PATIENCE: Final = Patience(connect_s=1.0, first_s=1.0)
-"""How long one read may take."""
+READ_TIMEOUTS: Final = Patience(connect_s=1.0, first_s=1.0)
+"""Timeouts of one read."""
 
-BYTES_A_READ: Final = 600
-"""About what a request for a report and its answer take."""
+BYTES_PER_READ: Final = 600
+"""Approximate size of a load request and its answer."""
 
 JITTER: Final = 0.2
-"""Share by which a wait is shortened or lengthened."""
+"""Largest relative deviation of an interval from its mean."""
 
 
 class UpstreamReader:
-    """Read the loads that this router is the reader of, until cancelled."""
+    """Reads load reports of the instances that are assigned to this router."""
 
     def __init__(
         self,
@@ -61,22 +61,22 @@
         self._rng = rng
         self._clock = clock
         self.n_reads = 0
-        """Reports asked for so far."""
+        """Reports requested."""
         self.n_failures = 0
-        """Reads without a usable report."""
+        """Reads that gave no usable report."""
         self.n_bytes = 0
-        """Bytes of the reports' bodies."""
+        """Bytes of report bodies received."""
 
     async def run(self) -> None:
-        """Read in rounds until cancelled."""
+        """Read the assigned instances at intervals until cancelled."""
         while True:
-            share = self.share()
-            await self.read(share)
-            interval_s = self.interval_s(len(share))
+            assigned_instances = self.assigned_instances()
+            await self.read(assigned_instances)
+            interval_s = self.interval_s(len(assigned_instances))
             await trio.sleep(interval_s * self._rng.uniform(1 - JITTER, 1 + JITTER))
 
-    def share(self) -> list[UpstreamInstance]:
-        """Return the instances that this router reads now."""
+    def assigned_instances(self) -> list[UpstreamInstance]:
+        """Return the instances currently assigned to this router."""
         routers = [
             member.instance
             for member in self._peers.members()
@@ -91,26 +91,26 @@
         ]
 
     def interval_s(self, n_instances: int) -> float:
-        """Return the seconds between rounds over so many instances."""
-        needed_s = n_instances * BYTES_A_READ / self._cfg.read_budget
-        return max(self._cfg.read_min_s, needed_s)
+        """Return the seconds between reads of ``n_instances`` instances."""
+        budgeted_s = n_instances * BYTES_PER_READ / self._cfg.read_budget
+        return max(self._cfg.read_min_s, budgeted_s)
 
-    async def read(self, share: Sequence[UpstreamInstance]) -> None:
-        """Read each instance once, all at the same time."""
+    async def read(self, assigned_instances: Sequence[UpstreamInstance]) -> None:
+        """Read each of the instances once, concurrently."""
         async with trio.open_nursery() as nursery:
-            for found in share:
+            for found in assigned_instances:
                 nursery.start_soon(self._read_one, found)
 
     async def _read_one(self, found: UpstreamInstance) -> None:
-        made_at = self._clock() - self._cfg.report_lag_s
+        created_at = self._clock() - self._cfg.report_lag_s
         self.n_reads += 1
         try:
-            response = await self._client.get(found.address, LOAD_PATH, READ_PATIENCE)
+            response = await self._client.get(found.address, LOAD_PATH, READ_TIMEOUTS)
             self.n_bytes += len(response.content)
             report = from_json(LoadReport, response.content)
         except (UpstreamError, httpx.HTTPError, DecodeError):
-            # The old report ages; whether the instance is fit to serve is judged by
-            # how attempts go, so that a slow report alone retires nobody.
+            # The last report grows stale. Health is decided by the outcome of attempts,
+            # so that a slow load report alone does not retire an instance.
             self.n_failures += 1
             return
-        self._directory.take_report(found.instance, report, made_at)
+        self._directory.take_report(found.instance, report, created_at)
--- a/packages/corianderlb-router/tests/test_upstream_directory.py
+++ b/packages/corianderlb-router/tests/test_upstream_directory.py
@@ -1,4 +1,4 @@
-"""Test what the router takes for the live instances of the upstreams."""
+"""Tests of the directory of upstream instances."""
 
 from __future__ import annotations
 
@@ -12,59 +12,55 @@
 
 
 def a_record(name: str, presence: Presence = Presence.LIVE) -> InstanceRecord:
-    """Build a line of the platform's list for a runner of ember-llm."""
+    """Build an instance record of the upstream ember-llm."""
     return InstanceRecord(
         name, Role.UPSTREAM, "z1", "pnw", f"127.0.0.1:{name[1:]}", presence, "ember-llm"
     )
 
 
 def a_list(revision: int, *records: InstanceRecord) -> InstanceList:
-    """Build the platform's list."""
+    """Build an instance list of the platform."""
     return InstanceList(revision, records)
 
 
 class TestUpstreamDirectory(unittest.TestCase):
-    """Knowledge belongs to one life of an instance, and leaving is for good."""
+    """State belongs to one incarnation, and a leaving one stays unusable."""
 
     def setUp(self):
-        self.told = []
+        self.announced = []
         self.ended = []
         self.directory = PlatformDirectory(
-            self.told.append, self.ended.append, clock=lambda: 10.0
+            self.announced.append, self.ended.append, clock=lambda: 10.0
         )
         self.directory.apply_list(a_list(5, a_record("e1"), a_record("e2")))
 
     def usable(self) -> list[str]:
-        """Return the names of the instances that may get new work."""
+        """Return the names of the usable instances."""
         found = self.directory.usable("ember-llm").instances
         return [load.incarnation.instance for load in found]
 
     def test_older_list_is_refused(self):
-        """A lagging replica of the platform hands out a list from before a removal.
-
-        If it were taken, requests would go to an instance that is gone.
-        """
+        """A list from a lagging replica must not bring back a removed instance."""
         self.directory.apply_list(a_list(6, a_record("e2")))
         self.assertFalse(self.directory.apply_list(a_list(5, a_record("e1"))))
         self.assertEqual(self.usable(), ["e2"])
 
-    def test_leaving_life_is_not_revived_by_a_list(self):
-        """An engine says that it leaves while the list, which lags, has it as live.
+    def test_leaving_incarnation_stays_leaving(self):
+        """An engine reports that it is leaving while the list still has it as live.
 
-        New requests sent there would be cut when it goes.
+        Requests sent there would be aborted when it stops.
         """
         self.directory.take_report("e1", LoadReport(epoch=3, leaving=True), 9.5)
         self.directory.apply_list(a_list(9, a_record("e1"), a_record("e2")))
         self.assertEqual(self.usable(), ["e2"])
-        self.assertEqual(self.told, [UpstreamLeaving("e1", 3)])
+        self.assertEqual(self.announced, [UpstreamLeaving("e1", 3)])
         self.directory.observe_epoch("e1", 4)
         self.assertEqual(self.usable(), ["e1", "e2"])
 
-    def test_new_life_drops_what_was_known(self):
-        """An engine crashes and answers again, empty, under the same address.
+    def test_new_incarnation_discards_old_state(self):
+        """An engine restarts with an empty cache under the same address.
 
-        With the old report still in use it would get work for a queue and a cache
-        that no longer exist.
+        The old report describes a queue and a cache that no longer exist.
         """
         self.directory.take_report("e1", LoadReport(epoch=3, n_running=7), 9.5)
         old = self.directory.usable("ember-llm").by_name["e1"]
@@ -76,7 +72,7 @@
         self.assertIsNone(self.directory.load_of(old.incarnation))
 
     def test_listed_as_leaving(self):
-        """The platform lists an engine as leaving, then an old copy as live again."""
+        """An incarnation listed as leaving stays unusable when listed as live again."""
         self.directory.observe_epoch("e1", 3)
         self.directory.apply_list(a_list(6, a_record("e1", Presence.LEAVING)))
         self.directory.apply_list(a_list(7, a_record("e1")))
--- a/packages/corianderlb-router/tests/test_upstream_news.py
+++ b/packages/corianderlb-router/tests/test_upstream_news.py
@@ -1,4 +1,4 @@
-"""Test how routers learn about the upstream instances, each read by one of them."""
+"""Tests of load reads and load gossip between routers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakePeers(PeerNetwork):
-    """Link routers in memory; a message goes to the linked ones at once."""
+    """In-memory peer network that queues broadcasts for all other routers."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet = fleet
@@ -50,28 +50,28 @@
         return self.fleet.members
 
     async def deliver(self):
-        """Handle what has arrived."""
+        """Handle the queued messages."""
         waiting, self.waiting = self.waiting, []
         for sender, message in waiting:
             await self.handlers[type(message)](sender, message)
 
 
 class FakeClient:
-    """Answer for the upstream instances; those without a report are down."""
+    """Client that answers load requests; instances without a report are down."""
 
     def __init__(self) -> None:
         self.reports = {}
-        self.asked = Counter()
+        self.n_requests = Counter()
 
     async def get(self, address, path, patience):
-        self.asked[address] += 1
+        self.n_requests[address] += 1
         if address not in self.reports:
             raise httpx.ConnectError("down")
         return httpx.Response(200, content=to_json(self.reports[address]))
 
 
 class Router:
-    """Hold the parts of one router that these tests are about."""
+    """The directory, reader and gossip of one router."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         rng = random.Random(name)
@@ -93,7 +93,7 @@
 
 
 class Fleet:
-    """Hold a few routers before the same upstream instances."""
+    """Several routers that share the same upstream instances."""
 
     def __init__(self, n_routers: int, n_instances: int) -> None:
         self.client = FakeClient()
@@ -118,12 +118,12 @@
         router.directory.apply_list(InstanceList(revision, tuple(records)))
 
     async def read(self) -> None:
-        """Have each router read its share once."""
+        """Have each router read its assigned instances once."""
         for router in self.routers:
-            await router.reader.read(router.reader.share())
+            await router.reader.read(router.reader.assigned_instances())
 
     async def gossip(self) -> None:
-        """Have each router send one round, and all that follows from it delivered."""
+        """Have each router send once, and deliver all messages that result."""
         for router in self.routers:
             router.gossip.send()
         while any(peers.waiting for peers in self.peers):
@@ -131,22 +131,22 @@
                 await peers.deliver()
 
 
-class TestUpstreamNews(TrioTestCase):
-    """Every router knows the loads, and none has to read them all."""
+class TestLoadSharing(TrioTestCase):
+    """All routers learn the loads, although each reads only some instances."""
 
     async def test_each_instance_has_one_reader(self):
-        """A router dies, and the instances that it read are read by the others."""
+        """When a router fails, the others take over the reads of its instances."""
         fleet = Fleet(4, 20)
         await fleet.read()
-        self.assertEqual(set(fleet.client.asked.values()), {1})
-        self.assertEqual(len(fleet.client.asked), 20)
+        self.assertEqual(set(fleet.client.n_requests.values()), {1})
+        self.assertEqual(len(fleet.client.n_requests), 20)
         del fleet.members[0], fleet.routers[0]
-        fleet.client.asked.clear()
+        fleet.client.n_requests.clear()
         await fleet.read()
-        self.assertEqual(len(fleet.client.asked), 20)
+        self.assertEqual(len(fleet.client.n_requests), 20)
 
-    async def test_loads_reach_all_and_lose_little(self):
-        """What one router read, the others know with its age."""
+    async def test_loads_reach_all_routers(self):
+        """A load read by one router reaches the others, with its age."""
         fleet = Fleet(3, 5)
         for name in fleet.names:
             fleet.client.reports[name] = LoadReport(2, 3, 4, queued_prefill_s=0.7)
@@ -157,10 +157,10 @@
             self.assertEqual(report.n_running + report.n_queued, 7)
             self.assertAlmostEqual(report.queued_prefill_s, 0.7, delta=0.03)
 
-    async def test_old_reports_are_not_made_new(self):
-        """An engine falls silent while two routers tell each other its last load.
+    async def test_forwarded_reports_keep_their_age(self):
+        """Routers keep forwarding the last load of an unresponsive engine.
 
-        If an age could shrink on the way, it would look idle for ever.
+        If its age could shrink on the way, the load would never become stale.
         """
         for n_instances in (5, 150):
             fleet = Fleet(3, n_instances)
@@ -175,10 +175,10 @@
                     self.assertLessEqual(found.reported_at, read_at)
                 await trio.sleep(0.47)
 
-    async def test_load_of_another_life_is_ignored(self):
-        """The news that an engine came back, empty, overtakes a vector from before.
+    async def test_load_of_another_incarnation_is_ignored(self):
+        """A vector from before an engine's restart arrives after its new epoch.
 
-        Taken for the new life's, the old queue would keep work away from it.
+        Applied to the new incarnation, the old queue would keep requests away from it.
         """
         fleet = Fleet(2, 1)
         router = fleet.routers[0]
@@ -189,19 +189,19 @@
         self.assertIsNone(router.report("e000"))
 
     async def test_vector_over_another_list_is_ignored(self):
-        """One router's list has an instance replaced; entries would hit others."""
+        """Entries of a vector would be applied to the wrong instances."""
         fleet = Fleet(2, 3)
         fleet.names[0] = "e009"
         fleet.list_instances(fleet.routers[0], 2)
         for name in fleet.names:
             fleet.client.reports[name] = LoadReport(2, n_running=int(name[1:]))
-        await fleet.routers[0].reader.read(fleet.routers[0].reader.share())
+        await fleet.routers[0].reader.read(fleet.routers[0].reader.assigned_instances())
         await fleet.gossip()
         self.assertEqual(fleet.routers[1].gossip.n_unfit, 1)
         self.assertIsNone(fleet.routers[1].report("e001"))
 
-    async def test_new_life_is_known_to_all(self):
-        """An engine crashes and returns; one router sees it in an answer."""
+    async def test_new_incarnation_is_announced_to_all_routers(self):
+        """An engine restarts and one router sees the new epoch in an answer."""
         fleet = Fleet(3, 2)
         for router in fleet.routers:
             router.directory.observe_epoch("e001", 1)
@@ -210,10 +210,10 @@
         for router in fleet.routers:
             self.assertEqual(router.directory.find("e001").epoch, 2)
 
-    async def test_leaving_upstream_gets_no_new_work_anywhere(self):
-        """An engine is told to go, but the platform's list has it as live for long.
+    async def test_leaving_instance_is_unusable_on_all_routers(self):
+        """An engine reports that it is leaving while the list still has it as live.
 
-        Requests that still go there are cut when it ends.
+        Requests sent there would be aborted when it stops.
         """
         fleet = Fleet(3, 4)
         for name in fleet.names:
@@ -230,8 +230,8 @@
             fleet.list_instances(router, 5)
             self.assertEqual(router.usable(), ["e000", "e001", "e003"])
 
-    async def test_upstream_that_does_not_answer_is_left_to_health(self):
-        """An engine is down when its load is asked for; the other reports count."""
+    async def test_failed_read_does_not_retire_an_instance(self):
+        """A failed load read leaves an instance usable and other reports unaffected."""
         fleet = Fleet(1, 2)
         fleet.client.reports["e000"] = LoadReport(2, n_running=1)
         await fleet.read()
@@ -239,8 +239,8 @@
         self.assertEqual(fleet.routers[0].report("e000").n_running, 1)
         self.assertEqual(fleet.routers[0].usable(), ["e000", "e001"])
 
-    async def test_bytes_stay_within_the_budget_at_the_size_to_design_for(self):
-        """Two regions share 930 runners; a router has six peers and reads its part."""
+    async def test_traffic_stays_within_the_byte_budget(self):
+        """Gossip and reads stay within their budgets with 465 instances per region."""
         fleet = Fleet(7, 465)
         for name in fleet.names:
             fleet.client.reports[name] = LoadReport(2, 3, 4, 0.4)
@@ -253,7 +253,7 @@
 
 
 class TestLoadVector(TrioTestCase):
-    """A vector holds what placement needs, rounded to the safe side."""
+    """A load vector keeps waits and ages, and never makes a load look newer."""
 
     def test_round_trip(self):
         for n in (3, 200):
