--- a/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
@@ -1,8 +1,8 @@
-"""Hold this router's part of the fleet-wide limits, and hand out those it is home of.
+"""This router's share of the fleet-wide limits, and grants of those it is primary for.
 
-An actor: its messages are the other routers' requests for a share, the answers of
-homes, and a tick. ``reserve`` and ``release`` are called by the data path. Each changes
-state in one go, without waiting in between, so that two requests cannot take one place.
+An actor that handles grant requests of other routers, grants from primaries, and a
+tick. The data path calls ``reserve`` and ``refund``. No state change spans a
+checkpoint, so that two requests cannot reserve the same place.
 """
 
 from __future__ import annotations
@@ -29,58 +29,61 @@
 from .interface import CatalogueSource, PeerNetwork
 
 TICK_S: Final = 0.25
-"""How often allowances are looked at and homes are asked for more."""
+"""Seconds between checks of the allowances, which request new grants."""
 
-MIN_ASK_S: Final = 0.05
-"""Shortest time between two requests to a home that had too little."""
+MIN_REQUEST_INTERVAL_S: Final = 0.05
+"""Minimum seconds between requests to a primary that granted too little."""
 
-IDLE_S: Final = 60.0
-"""After so long without a request, an entry's allowance or ledger is forgotten."""
+IDLE_TIMEOUT_S: Final = 60.0
+"""Seconds without a request after which an allowance or ledger is dropped."""
 
 
 @dataclass(frozen=True)
 class Tick:
-    """Let the holder look after its allowances."""
+    """Periodic message that renews and expires allowances."""
 
 
 @dataclass(frozen=True)
-class GrantAsked:
-    """Carry a router's request for a share."""
+class GrantRequested:
+    """Message with another router's grant request."""
 
     request: GrantRequest
 
 
 @dataclass(frozen=True)
-class GrantArrived:
-    """Carry a home's answer."""
+class GrantReceived:
+    """Message with a grant of a primary."""
 
     grant: Grant
 
 
 @dataclass(eq=False)
-class _Held:
-    """Hold an entry's allowance and who waits for the home's answer about it."""
+class _HeldAllowance:
+    """Allowance of an entry, and the state of the grant request for it."""
 
     allowance: Allowance
-    answered: trio.Event
+    grant_event: trio.Event
+    """Set when the next grant arrives."""
     answer_s: float
-    """How long the home has for an answer."""
-    asked_at: float = float("-inf")
+    """Seconds that the primary has for an answer."""
+    requested_at: float = float("-inf")
 
-    def may_ask_at(self) -> float:
-        """Return when the home may be asked again.
+    def next_request_at(self) -> float:
+        """Return the earliest time of the next grant request.
 
-        One question is under way at a time, since the answer to an older one brings no
-        places. A home that had less than it was asked
-        for is left alone for a moment, or callers over their limit would flood it.
+        Only one request is in flight at a time, since a late answer to an older one
+        grants nothing. A primary that granted less than requested is given a pause;
+        otherwise callers over their limit would flood it with requests.
         """
         if self.allowance.answered != self.allowance.number:
-            return self.asked_at + self.answer_s
-        return self.asked_at + (MIN_ASK_S if self.allowance.is_scarce else 0.0)
+            return self.requested_at + self.answer_s
+        return self.requested_at + (
+            MIN_REQUEST_INTERVAL_S if self.allowance.is_scarce else 0.0
+        )
 
 
 class LimitHolder(Actor):
-    """Reserve places in the limits of entries, over all routers together."""
+    """Reserves places within the limits of entries, which all routers share."""
 
     def __init__(
         self,
@@ -94,27 +97,27 @@
         self._catalogue = catalogue
         self._network = network
         self._terms = terms or GrantTerms()
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldAllowance] = {}
         self._ledgers: dict[str, HomeLedger] = {}
         self._routers: list[InstanceId] = [router]
         self._routers_until = float("-inf")
-        network.subscribe(GrantRequest, self._take_request)
-        network.subscribe(Grant, self._take_grant)
+        network.subscribe(GrantRequest, self._post_request)
+        network.subscribe(Grant, self._post_grant)
 
     async def run(self) -> None:
-        """Answer other routers and renew grants until cancelled."""
+        """Answer grant requests and renew grants until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tick)
+            nursery.start_soon(self._post_ticks)
             await super().run()
             nursery.cancel_scope.cancel()
 
     @property
     def allowances(self) -> list[Allowance]:
-        """What is held of the entries in use, by entry."""
+        """Allowances of the entries in use, sorted by entry."""
         return [self._held[name].allowance for name in sorted(self._held)]
 
     def routers(self) -> list[InstanceId]:
-        """Return the live routers, this one included, as of a moment ago."""
+        """Return the live routers, including this one; cached for one tick."""
         now = trio.current_time()
         if now >= self._routers_until:
             live = {
@@ -129,14 +132,14 @@
     async def reserve(
         self, entries: Sequence[Entry], tokens: int, deadline: float
     ) -> list[Allowance] | Refusal:
-        """Take a place in the limits of all entries, or of none."""
+        """Reserve a place within the limits of all entries, or return a refusal."""
         reserved: list[Allowance] = []
         try:
             for entry in entries:
                 refusal = await self._reserve_one(entry, tokens, deadline)
                 if refusal is not None:
                     return refusal
-                reserved.append(self._hold(entry).allowance)
+                reserved.append(self._held_allowance(entry).allowance)
             return reserved
         finally:
             if len(reserved) < len(entries):
@@ -147,68 +150,68 @@
         for allowance in allowances:
             allowance.refund(tokens)
 
-    async def on_grant_asked(self, message: GrantAsked) -> None:
-        """Hand out a share, as the home that the other router believes this to be."""
+    async def on_grant_requested(self, message: GrantRequested) -> None:
+        """Grant a share, as the primary that the other router takes this one for."""
         req = message.request
         ledger = self._ledger(req.entry)
         if ledger is not None:
             self._network.send(req.requester, ledger.grant(req, trio.current_time()))
 
-    async def on_grant_arrived(self, message: GrantArrived) -> None:
-        """Take a share that the home handed out."""
+    async def on_grant_received(self, message: GrantReceived) -> None:
+        """Apply a grant of the primary."""
         held = self._held.get(message.grant.entry)
         if held is not None:
-            self._take(held, message.grant)
+            self._apply_grant(held, message.grant)
 
     async def on_tick(self, message: Tick) -> None:
-        """Renew what is in use and forget what is idle."""
+        """Renew the allowances in use and drop idle allowances and ledgers."""
         now = trio.current_time()
         for name, held in list(self._held.items()):
             allowance = held.allowance
             idle_s = 0.0 if allowance.n_running else now - allowance.used_at
-            if idle_s > IDLE_S:
+            if idle_s > IDLE_TIMEOUT_S:
                 del self._held[name]
             elif idle_s < self._terms.valid_s and allowance.is_due(now):
-                self._ask(held)
-            self._check_home(held)
+                self._request_grant(held)
+            self._check_primary(held)
         for name, ledger in list(self._ledgers.items()):
-            if now - ledger.asked_at > IDLE_S:
+            if now - ledger.asked_at > IDLE_TIMEOUT_S:
                 del self._ledgers[name]
 
-    async def _tick(self) -> None:
+    async def _post_ticks(self) -> None:
         while True:
             self.post(Tick())
             await trio.sleep(TICK_S)
 
-    async def _take_request(self, peer: InstanceId, message: GrantRequest) -> None:
-        self.post(GrantAsked(message))
+    async def _post_request(self, peer: InstanceId, message: GrantRequest) -> None:
+        self.post(GrantRequested(message))
 
-    async def _take_grant(self, peer: InstanceId, message: Grant) -> None:
-        self.post(GrantArrived(message))
+    async def _post_grant(self, peer: InstanceId, message: Grant) -> None:
+        self.post(GrantReceived(message))
 
     async def _reserve_one(
         self, entry: Entry, tokens: int, deadline: float
     ) -> Refusal | None:
-        """Take a place in an entry's limits; ask the home first when there is none."""
-        held = self._hold(entry)
+        """Reserve a place for an entry; if none is left, request a grant first."""
+        held = self._held_allowance(entry)
         allowance = held.allowance
         code = allowance.reserve(tokens, trio.current_time())
         if code is None:
             return None
-        patience_s = self._terms.answer_s + TICK_S
-        until = min(deadline, trio.current_time() + patience_s)
-        while await self._hear_from_home(held, until):
+        timeout_s = self._terms.answer_s + TICK_S
+        wait_until = min(deadline, trio.current_time() + timeout_s)
+        while await self._wait_for_grant(held, wait_until):
             code = allowance.reserve(tokens, trio.current_time())
             if code is None:
                 return None
-            # Others may have taken what the home sent on this request's account. Only
-            # a home that has no more makes it a request over the limit.
+            # Other requests may have used up the grant. The request is over the limit
+            # only if the primary has no more to grant.
             if allowance.is_scarce or allowance.has_fallen_back:
                 break
             await trio.lowlevel.checkpoint()
         else:
-            # The home is too slow for this request, which is not over any limit for
-            # all that is known here.
+            # The primary did not answer in time, and this router does not know that
+            # the request is over a limit.
             now = trio.current_time()
             allowance.fall_back(self.routers(), now)
             code = allowance.reserve(tokens, now)
@@ -217,35 +220,37 @@
         allowance.n_refused += 1
         return _over_limit(allowance, code)
 
-    async def _hear_from_home(self, held: _Held, until: float) -> bool:
-        """Wait until the home has answered a request made from now on.
+    async def _wait_for_grant(self, held: _HeldAllowance, wait_until: float) -> bool:
+        """Wait until the primary has answered a request that is made from now on.
 
-        Return whether there may be more than before: the home has answered, or it is
-        silent and the even share counts.
+        Return whether the allowance may have grown: the primary has answered, or it is
+        unresponsive and the even share is in use. Return False at the deadline.
         """
         allowance = held.allowance
         needed = allowance.number + 1
-        with trio.move_on_at(until) as waiting:
+        with trio.move_on_at(wait_until) as wait_scope:
             while allowance.answered < needed and not allowance.has_fallen_back:
-                await self._ask_in_turn(held, needed)
-        return not waiting.cancelled_caught
+                await self._request_or_wait(held, needed)
+        return not wait_scope.cancelled_caught
 
-    async def _ask_in_turn(self, held: _Held, needed: int) -> None:
-        """Ask the home, unless another request has just done so, and wait for news."""
-        self._ask(held)
+    async def _request_or_wait(self, held: _HeldAllowance, needed: int) -> None:
+        """Request a grant unless a request is in flight, and wait for the answer."""
+        self._request_grant(held)
         if held.allowance.answered < needed:
-            # Never in the past: a wait of no time at all would keep the task busy.
-            until = max(held.may_ask_at(), trio.current_time() + MIN_ASK_S)
-            with trio.move_on_at(until):
-                await held.answered.wait()
-            self._check_home(held)
-
-    def _ask(self, held: _Held) -> None:
-        """Ask the entry's home for a share; a home asks itself."""
+            # A deadline in the past would make the caller a busy loop.
+            wait_until = max(
+                held.next_request_at(), trio.current_time() + MIN_REQUEST_INTERVAL_S
+            )
+            with trio.move_on_at(wait_until):
+                await held.grant_event.wait()
+            self._check_primary(held)
+
+    def _request_grant(self, held: _HeldAllowance) -> None:
+        """Request a grant from the entry's primary, which may be this router."""
         now = trio.current_time()
-        if held.allowance.limits == Limits() or now < held.may_ask_at():
+        if held.allowance.limits == Limits() or now < held.next_request_at():
             return
-        held.asked_at = now
+        held.requested_at = now
         req = held.allowance.request(now)
         target = home(req.entry.encode(), self.routers())
         if target is not None and target != self._router:
@@ -253,33 +258,33 @@
             return
         ledger = self._ledger(req.entry)
         if ledger is not None:
-            self._take(held, ledger.grant(req, now))
+            self._apply_grant(held, ledger.grant(req, now))
 
-    def _take(self, held: _Held, grant: Grant) -> None:
+    def _apply_grant(self, held: _HeldAllowance, grant: Grant) -> None:
         held.allowance.take_grant(grant, trio.current_time())
-        held.answered.set()
-        held.answered = trio.Event()
+        held.grant_event.set()
+        held.grant_event = trio.Event()
 
-    def _check_home(self, held: _Held) -> None:
+    def _check_primary(self, held: _HeldAllowance) -> None:
         allowance = held.allowance
         before = allowance.has_fallen_back
         allowance.check_home(self.routers(), trio.current_time())
         if allowance.has_fallen_back and not before:
             eliot.log_message(message_type="limits:home_silent", entry=allowance.entry)
 
-    def _hold(self, entry: Entry) -> _Held:
+    def _held_allowance(self, entry: Entry) -> _HeldAllowance:
         name = str(key_of(entry))
         held = self._held.get(name)
         if held is None:
             allowance = Allowance(name, entry.limits, self._terms, self._router)
-            held = self._held[name] = _Held(
+            held = self._held[name] = _HeldAllowance(
                 allowance, trio.Event(), self._terms.answer_s
             )
         held.allowance.limits = entry.limits
         return held
 
     def _ledger(self, name: str) -> HomeLedger | None:
-        """Return the ledger of an entry; None when the catalogue does not limit it."""
+        """Return the ledger of an entry, or None if the catalogue has no such entry."""
         limits = self._limits(name)
         if limits is None:
             self._ledgers.pop(name, None)
@@ -307,6 +312,6 @@
     what = "running requests" if code is ResultCode.TOO_MANY_CONCURRENT else "rate"
     return Refusal(
         code,
-        f"{allowance.entry} is over its limit of {what}; come back after Retry-After",
+        f"{allowance.entry} is over its limit of {what}; retry after Retry-After",
         allowance.retry_after_s(code),
     )
--- a/packages/corianderlb-router/src/corianderlb_router/limiter.py
+++ b/packages/corianderlb-router/src/corianderlb_router/limiter.py
@@ -1,8 +1,9 @@
-"""Hold the limits of the catalogue's entries and let requests wait for their turn.
+"""Admission of requests within the limits of catalogue entries and upstream capacity.
 
-``admit`` first takes a place in the limits of all entries that a request rests on, and
-then a turn at its upstream. A request that is refused, or whose caller hangs up, is
-out of every queue and holds no place before anyone hears of it.
+``admit`` first reserves a place within the limits of all entries that a request uses,
+and then waits for a place at the gate of its upstream. A request that is refused, or
+whose caller disconnects, has left every queue and released its places by the time
+``admit`` ends.
 """
 
 from __future__ import annotations
@@ -33,11 +34,11 @@
 from .limit_holder import TICK_S, LimitHolder
 
 ACCOUNT_PREFIX: Final = "account/"
-"""How the names of client accounts start among the limited entries."""
+"""Prefix of client accounts in the names of limited entries."""
 
 
 class LimitedSlot(Slot):
-    """Hold a request's place at its entries and at the gate of its upstream."""
+    """Place of an admitted request at its entries and at the gate of its upstream."""
 
     def __init__(
         self, limiter: Limiter, facts: RequestFacts, allowances: Sequence[Allowance]
@@ -49,7 +50,7 @@
         self._released = False
 
     def release(self, used_tokens: int) -> None:
-        """Give the places back and settle the tokens; a second call does nothing."""
+        """Release the places and settle the tokens; further calls do nothing."""
         if self._released:
             return
         self._released = True
@@ -57,14 +58,14 @@
         held_s = now - self._started_at
         for allowance in self._allowances:
             allowance.release(self._facts.prompt_tokens, used_tokens, held_s, now)
-        self._limiter.release_turn(self._facts.upstream, held_s)
+        self._limiter.release_place(self._facts.upstream, held_s)
 
 
 class Limiter(Admission):
-    """Admit requests within the limits, fairly and in the order of their urgency.
+    """Admits requests within the limits, by service class and fairly between accounts.
 
-    ``estimate_s`` gives the time that a request takes from its turn to its first byte;
-    a request that cannot make its deadline even so is refused when it arrives.
+    ``estimate_s`` estimates the time from admission to the first byte of the answer. A
+    request that cannot meet its deadline by that estimate is refused on arrival.
     """
 
     def __init__(
@@ -84,19 +85,19 @@
             self._cfg.grant_valid_s, self._cfg.grant_burst_s, self._cfg.grant_answer_s
         )
         self.holder = LimitHolder(router, catalogue, network, terms)
-        """What this router holds of the fleet-wide limits."""
+        """This router's share of the fleet-wide limits."""
         self.gates: dict[str, Gate[Future[None]]] = {}
-        """The gates by upstream; their ``counts`` are for metrics."""
+        """Gates by upstream; their ``counts`` are exported as metrics."""
 
     async def run(self) -> None:
-        """Answer other routers and renew grants until cancelled."""
+        """Answer grant requests, renew grants and update gates until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_capacity)
+            nursery.start_soon(self._update_capacities)
             await self.holder.run()
             nursery.cancel_scope.cancel()
 
     async def admit(self, facts: RequestFacts) -> Slot | Refusal:
-        """Return a slot when it is the request's turn, or a refusal at once."""
+        """Wait for admission and return a slot, or return a refusal."""
         catalogue = self._catalogue_in_force()
         entries = limited_entries(facts, catalogue)
         tokens = facts.prompt_tokens
@@ -105,22 +106,22 @@
             return held
         admitted = False
         try:
-            refusal = await self._wait_for_turn(facts, catalogue)
+            refusal = await self._enter_gate(facts, catalogue)
             admitted = refusal is None
         finally:
-            # Also when the caller hung up: its places are free from here on.
+            # Also releases the places when the caller disconnects.
             if not admitted:
                 self.holder.refund(held, tokens)
         return refusal or LimitedSlot(self, facts, held)
 
-    def release_turn(self, upstream: str, held_s: float) -> None:
-        """Give a turn back and let the next request have it."""
+    def release_place(self, upstream: str, held_s: float) -> None:
+        """Release a place at an upstream's gate and admit the next request."""
         gate = self.gates[upstream]
         gate.release(held_s)
-        self._give_turns(gate)
+        self._admit_queued(gate)
 
     def accounts(self) -> list[AccountStatus]:
-        """Return how much each active client account uses of its limits here."""
+        """Return the usage of each active client account on this router."""
         return [
             AccountStatus(
                 account=held.entry.removeprefix(ACCOUNT_PREFIX),
@@ -132,10 +133,10 @@
             if held.entry.startswith(ACCOUNT_PREFIX)
         ]
 
-    async def _wait_for_turn(
+    async def _enter_gate(
         self, facts: RequestFacts, catalogue: Catalogue
     ) -> Refusal | None:
-        """Return None when the request holds a turn at its upstream."""
+        """Return None once the request has a place at the gate, or a refusal."""
         gate = self._gate(facts.upstream, catalogue)
         account = catalogue.account(facts.account)
         ticket = gate.offer(
@@ -147,7 +148,7 @@
         )
         if isinstance(ticket, Refusal):
             return ticket
-        self._give_turns(gate)
+        self._admit_queued(gate)
         if not ticket.in_queue:
             return None
         gate.counts.n_queued += 1
@@ -166,26 +167,26 @@
             if ticket.in_queue:
                 gate.leave(ticket)
             else:
-                # The turn came in the moment in which the caller hung up.
+                # The request was admitted just as its caller disconnected.
                 gate.release(None)
-                self._give_turns(gate)
+                self._admit_queued(gate)
             raise
         return gate.expire(ticket) if ticket.in_queue else None
 
-    async def _follow_capacity(self) -> None:
-        """Let those who wait have the places of instances that come back."""
+    async def _update_capacities(self) -> None:
+        """Update the capacity of the gates as instances leave and return."""
         while True:
             await trio.sleep(TICK_S)
             catalogue = self._catalogue_in_force()
             for upstream, gate in self.gates.items():
                 gate.capacity = self._capacity(upstream, catalogue)
-                self._give_turns(gate)
+                self._admit_queued(gate)
 
     def _catalogue_in_force(self) -> Catalogue:
         in_force = self._catalogue.current()
         return in_force.catalogue if in_force is not None else Catalogue()
 
-    def _give_turns(self, gate: Gate[Future[None]]) -> None:
+    def _admit_queued(self, gate: Gate[Future[None]]) -> None:
         for ticket in gate.next_turns(trio.current_time()):
             ticket.item.set(None)
 
@@ -203,10 +204,10 @@
         return gate
 
     def _capacity(self, upstream: str, catalogue: Catalogue) -> int:
-        """Return this router's even part of what the upstream may run at once.
+        """Return this router's even share of the upstream's concurrency.
 
-        Without a usable instance a place is left: the request goes on to placement,
-        which knows why there is none and tells the caller.
+        It is at least 1, even without a usable instance, so that a request reaches
+        placement, which reports to the caller why there is none.
         """
         n_usable = sum(one.usable for one in self._directory.instances(upstream))
         places = n_usable * self._cfg.concurrent_per_instance
@@ -222,9 +223,9 @@
 
 
 def limited_entries(facts: RequestFacts, catalogue: Catalogue) -> list[Entry]:
-    """Return the entries whose limits a request has to fit, the account first.
+    """Return the entries whose limits apply to a request, the account first.
 
-    The places of an upstream are its gate's matter: there requests wait.
+    Upstreams are not among them: their limits are enforced by a gate with a queue.
     """
     adapter = catalogue.adapter(facts.target)
     model = catalogue.model(adapter.model if adapter is not None else facts.target)
