--- a/packages/corianderlb-router/src/corianderlb_router/http_store.py
+++ b/packages/corianderlb-router/src/corianderlb_router/http_store.py
@@ -96,7 +96,7 @@
         status = resp.status_code
         if status == httpx.codes.PRECONDITION_FAILED:
             raise StoreConflictError(
-                f"{kind.value}: the object has changed; read it again"
+                f"{kind.value}: the object exists or has changed; read it again"
             )
         if status == httpx.codes.TOO_MANY_REQUESTS:
             raise self.unavailable(kind, f"status {status}", retry_after_of(resp))
--- a/packages/corianderlb-router/src/corianderlb_router/load_gossip.py
+++ b/packages/corianderlb-router/src/corianderlb_router/load_gossip.py
@@ -132,8 +132,8 @@
         detailed = load_vector.is_detailed(n_instances)
         known_mark = load_vector.epoch_mark(found.epoch, detailed)
         if found.epoch and known_mark != sample.epoch_mark:
-            # The sample is of another incarnation: the vector was sent before the
-            # sender learned of the new one.
+            # The sample is of another incarnation: only one of the two routers had
+            # learned of the new one when the vector was sent or received.
             return
         report = dataclasses.replace(
             found.report or LoadReport(found.epoch),
--- a/packages/corianderlb-router/src/corianderlb_router/store.py
+++ b/packages/corianderlb-router/src/corianderlb_router/store.py
@@ -82,7 +82,7 @@
 
 
 class ObjectStore(ABC):
-    """Object store of the platform, which limits the rate of calls."""
+    """Object store of the platform, which counts each call."""
 
     @abstractmethod
     async def get(self, key: str) -> StoredObject | None:
--- a/packages/corianderlb-router/src/corianderlb_router/store_caller.py
+++ b/packages/corianderlb-router/src/corianderlb_router/store_caller.py
@@ -152,8 +152,8 @@
         one would wait for its whole timeout. Watches on the old connections are
         cancelled so that their callers restart them.
         """
-        silent = isinstance(exc, httpx.ReadTimeout | httpx.WriteTimeout)
-        if pool is self._pool and (silent or isinstance(exc, trio.TooSlowError)):
+        has_timed_out = isinstance(exc, httpx.ReadTimeout | httpx.WriteTimeout)
+        if pool is self._pool and (has_timed_out or isinstance(exc, trio.TooSlowError)):
             pool.retired = True
             self._pool = _Pool(self._url, self._transport)
             self.n_pools_retired += 1
