--- a/packages/corianderlb-router/src/corianderlb_router/_link_table.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_link_table.py
@@ -1,4 +1,4 @@
-"""Hold the open links of a router, one to each peer."""
+"""Table of the open links of a router, one per peer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LinkTable:
-    """Map each linked router to its one connection."""
+    """Connections by linked router, at most one each."""
 
     def __init__(self, own: InstanceId) -> None:
         self._own = own
@@ -34,28 +34,29 @@
         return self._connections.get(peer)
 
     def add(self, conn: PeerConnection) -> bool:
-        """Put a new link in the place of an older one to the same router, or refuse.
+        """Add a link, replacing an existing one to the same router; False if refused.
 
-        When both routers dial at once there are two links, and each side must give up
-        the same one: the link of the router with the lower name stays. A link of a
-        newer life, or a second one from the same side, means that the first is dead.
+        When both routers dial at once there are two links, and both sides must close
+        the same one: the link dialled by the router with the lower name stays. A link
+        from a newer incarnation, or a second one from the same side, means that the
+        existing link is dead.
         """
         name = conn.peer.instance
-        held = self._connections.get(name)
-        if held is not None:
-            if conn.peer.epoch < held.peer.epoch:
+        current = self._connections.get(name)
+        if current is not None:
+            if conn.peer.epoch < current.peer.epoch:
                 return False
-            same_life = conn.peer.epoch == held.peer.epoch
-            crossed = same_life and conn.dialled is not held.dialled
-            mine_stays = self._own < name
-            if crossed and conn.dialled is not mine_stays:
+            is_same_incarnation = conn.peer.epoch == current.peer.epoch
+            is_crossed = is_same_incarnation and conn.dialled is not current.dialled
+            own_dial_wins = self._own < name
+            if is_crossed and conn.dialled is not own_dial_wins:
                 return False
-            held.close()
+            current.close()
         self._connections[name] = conn
         return True
 
     def remove(self, conn: PeerConnection) -> bool:
-        """Take a link out; return False when another one has its place by now."""
+        """Remove a link; return False if another one has replaced it."""
         if self._connections.get(conn.peer.instance) is not conn:
             return False
         del self._connections[conn.peer.instance]
--- a/packages/corianderlb-router/src/corianderlb_router/_peer_connection.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_peer_connection.py
@@ -1,4 +1,4 @@
-"""Run one link to a proved peer: a reader, a writer and a bounded queue between."""
+"""Connection to an authenticated peer, with a bounded send queue."""
 
 from __future__ import annotations
 
@@ -11,54 +11,53 @@
 from corianderlb_core.codec import DecodeError
 from corianderlb_core.message import Message, decode
 
-from ._handshake import TAG_BYTES, PeerIdentity, SealedLink
+from ._handshake import TAG_BYTES, AuthenticatedLink, PeerIdentity
 from .peer_link import FrameRefusedError, LinkClosedError
 
 MAX_QUEUED: Final = 256
-"""Messages that wait for a slow peer at most; more are dropped and counted."""
+"""Most messages queued for a slow peer; more are dropped and counted."""
 
 MAX_QUEUED_BYTES: Final = 4 << 20
-"""Bytes that wait for a slow peer at most."""
+"""Most bytes queued for a slow peer."""
 
 
 @dataclass
 class PeerCounters:
-    """Count what goes over the links of one router, since its start."""
+    """Link traffic of one router since its start."""
 
     n_messages_in: int = 0
     n_messages_out: int = 0
     n_bytes_in: int = 0
     n_bytes_out: int = 0
     n_dropped: int = 0
-    """Messages not queued because a peer was too slow."""
+    """Messages dropped because the send queue of a peer was full."""
     n_refused: int = 0
-    """Frames that were too long, malformed or forged; each closed its link."""
+    """Frames that were too long, malformed or forged; each closes its link."""
     n_strangers: int = 0
-    """Links that failed the proof of the peer key."""
+    """Links that failed authentication."""
     n_links_opened: int = 0
     n_links_silent: int = 0
-    """Links closed because nothing came over them for too long."""
+    """Links closed because nothing was received for too long."""
     n_dials_failed: int = 0
 
 
 class PeerConnection:
-    """Own one link; ``run`` returns when it is over.
+    """One link to a peer; ``run`` returns when the link is closed.
 
-    A link can go silent for good while new ones work, because something in between
-    has lost track of it. Sends then succeed and nothing comes back. ``last_heard``
-    lets the network close such a link, so that a new one is dialled.
+    A middlebox can lose the state of a connection: sends still succeed, but nothing
+    arrives. ``last_received_at`` lets the network close such a link and dial a new one.
     """
 
     def __init__(
-        self, link: SealedLink, dialled: bool, counters: PeerCounters, now: float
+        self, link: AuthenticatedLink, dialled: bool, counters: PeerCounters, now: float
     ) -> None:
         self.peer: PeerIdentity = link.peer
         self.dialled = dialled
         """Whether this router opened the link."""
-        self.last_heard = now
-        """Router's clock at the last frame from the peer."""
-        self.heard_beat = 0
-        """Number of the last heartbeat that came over this link."""
+        self.last_received_at = now
+        """Time of the last frame from the peer, by the router's clock."""
+        self.last_heartbeat = 0
+        """Number of the last heartbeat received over this link."""
         self._link = link
         self._counters = counters
         self._send, self._queue = trio.open_memory_channel[bytes](MAX_QUEUED)
@@ -66,7 +65,7 @@
         self._scope = trio.CancelScope()
 
     def post(self, frame: bytes) -> bool:
-        """Queue an encoded message; drop and count it when the peer is too slow."""
+        """Queue an encoded message; drop and count it if the queue is full."""
         try:
             if self._n_queued_bytes + len(frame) > MAX_QUEUED_BYTES:
                 raise trio.WouldBlock
@@ -78,13 +77,13 @@
         return True
 
     def close(self) -> None:
-        """Let ``run`` return soon."""
+        """Close the link; ``run`` returns soon after."""
         self._scope.cancel()
 
     async def run(
         self, handle: Callable[[PeerConnection, Message], Awaitable[None]]
     ) -> None:
-        """Pass arriving messages on, and send queued ones."""
+        """Handle received messages and send queued ones until the link closes."""
         with self._scope:
             try:
                 async with trio.open_nursery() as nursery:
@@ -104,7 +103,7 @@
             except (FrameRefusedError, DecodeError):
                 self._counters.n_refused += 1
                 return
-            self.last_heard = trio.current_time()
+            self.last_received_at = trio.current_time()
             self._counters.n_messages_in += 1
             self._counters.n_bytes_in += TAG_BYTES + len(frame)
             await handle(self, message)
@@ -113,6 +112,6 @@
         async for frame in self._queue:
             self._n_queued_bytes -= len(frame)
             n_bytes = await self._link.send(frame)
-            # Added after the wait: other links count into the same number meanwhile.
+            # Read the counters after the await: other links update them meanwhile.
             self._counters.n_bytes_out += n_bytes
             self._counters.n_messages_out += 1
--- a/packages/corianderlb-router/src/corianderlb_router/_websocket_transport.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_websocket_transport.py
@@ -1,4 +1,4 @@
-"""Carry frames between routers over websockets."""
+"""Transport of frames between routers over websockets."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 )
 
 OPEN_TIMEOUT_S: Final = 3.0
-"""Longest wait for a websocket to open, in seconds."""
+"""Timeout for opening a websocket."""
 
 CLOSE_TIMEOUT_S: Final = 0.5
-"""Longest wait for a peer's part of the closing, in seconds."""
+"""Timeout for the closing handshake."""
 
-SEAL_BYTES: Final = 64
-"""Bytes of a frame beside its message."""
+FRAME_OVERHEAD_BYTES: Final = 64
+"""Upper bound of the bytes that a frame adds to its message."""
 
-TOO_LONG: Final = 1009
-"""The websocket close code for a message above the limit."""
+CLOSE_MESSAGE_TOO_BIG: Final = 1009
+"""Websocket close code for a message above the size limit."""
 
 
 class WebSocketTransport(PeerTransport):
-    """Open and take websockets on one host and port; port 0 lets the kernel pick.
+    """Dial and accept websockets; port 0 lets the kernel choose a port.
 
-    The pings of the library stay off: the routers' own heartbeats do their work, and
-    stand on a clock that tests can move.
+    Library pings are off: the routers' heartbeats detect dead links, and use a clock
+    that tests control.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -57,7 +57,7 @@
                 open_timeout=OPEN_TIMEOUT_S,
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
-                max_size=MAX_MESSAGE_BYTES + SEAL_BYTES,
+                max_size=MAX_MESSAGE_BYTES + FRAME_OVERHEAD_BYTES,
             ) as websocket:
                 yield _WebSocketLink(websocket)
         except (OSError, InvalidHandshake, InvalidURI) as exc:
@@ -68,7 +68,7 @@
         handler: LinkHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Take links until cancelled."""
+        """Accept links until cancelled."""
 
         async def handle(websocket: ServerConnection) -> None:
             await handler(_WebSocketLink(websocket))
@@ -83,12 +83,12 @@
             open_timeout=OPEN_TIMEOUT_S,
             close_timeout=CLOSE_TIMEOUT_S,
             ping_interval=None,
-            max_size=MAX_MESSAGE_BYTES + SEAL_BYTES,
+            max_size=MAX_MESSAGE_BYTES + FRAME_OVERHEAD_BYTES,
         )
 
 
 class _WebSocketLink(PeerLink):
-    """Carry frames over one websocket."""
+    """Link over one websocket."""
 
     def __init__(self, websocket: Connection) -> None:
         self._websocket = websocket
@@ -97,16 +97,16 @@
         try:
             await self._websocket.send(frame)
         except (ConnectionClosed, OSError, trio.BrokenResourceError) as exc:
-            raise LinkClosedError(f"sending: {exc!r}") from exc
+            raise LinkClosedError(f"send failed: {exc!r}") from exc
 
     async def receive(self) -> bytes:
         try:
             frame = await self._websocket.recv(decode=False)
         except ConnectionClosed as exc:
-            too_long = exc.sent is not None and exc.sent.code == TOO_LONG
+            too_long = exc.sent is not None and exc.sent.code == CLOSE_MESSAGE_TOO_BIG
             if too_long and not exc.rcvd_then_sent:
-                raise FrameRefusedError("frame above the limit") from exc
-            raise LinkClosedError(f"receiving: {exc!r}") from exc
+                raise FrameRefusedError("frame exceeds the size limit") from exc
+            raise LinkClosedError(f"receive failed: {exc!r}") from exc
         return bytes(frame)
 
     async def aclose(self) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/peer_link.py
+++ b/packages/corianderlb-router/src/corianderlb_router/peer_link.py
@@ -1,4 +1,4 @@
-"""Links between routers: frames both ways, over whatever carries them."""
+"""Interfaces for links between routers, independent of the transport."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 
 
 class LinkClosedError(CorianderError):
-    """Signal that a link ended or could not be made; dial again."""
+    """Raised when a link is closed or could not be opened."""
 
     code = ResultCode.PEER_REJECTED
 
 
 class FrameRefusedError(CorianderError):
-    """Signal a frame that is too long, malformed or not from the peer."""
+    """Raised for a frame that is too long, malformed or forged."""
 
     code = ResultCode.PEER_MESSAGE_INVALID
 
 
 class PeerLink(ABC):
-    """Carry frames between two routers, in order."""
+    """Ordered, bidirectional link of frames between two routers."""
 
     @abstractmethod
     async def send(self, frame: bytes) -> None:
-        """Send one frame; raise ``LinkClosedError`` when the link is gone."""
+        """Send one frame; raise ``LinkClosedError`` if the link is closed."""
 
     @abstractmethod
     async def receive(self) -> bytes:
         """Return the next frame.
 
         Raise ``LinkClosedError`` at the end of the link and ``FrameRefusedError`` for a
-        frame above the limit.
+        frame above the size limit.
         """
 
     @abstractmethod
     async def aclose(self) -> None:
-        """End the link, without waiting for a peer that may be silent."""
+        """Close the link without waiting for a peer that may be unresponsive."""
 
 
 LinkHandler: TypeAlias = Callable[[PeerLink], Awaitable[None]]
-"""Runs a link that a peer opened; the link is closed when it returns."""
+"""Handler of an accepted link; the link is closed when it returns."""
 
 
 class PeerTransport(ABC):
-    """Make links to other routers, and take theirs."""
+    """Dials links to other routers and accepts theirs."""
 
     @abstractmethod
     def dial(self, address: str) -> AbstractAsyncContextManager[PeerLink]:
-        """Open a link to ``host:port``; raise ``LinkClosedError`` when that fails."""
+        """Open a link to ``host:port``; raise ``LinkClosedError`` on failure."""
 
     @abstractmethod
     async def serve(
@@ -62,4 +62,4 @@
         handler: LinkHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Take links until cancelled; the status tells the bound ``host:port``."""
+        """Accept links until cancelled; start with the bound ``host:port``."""
--- a/packages/corianderlb-router/tests/test_peer_network.py
+++ b/packages/corianderlb-router/tests/test_peer_network.py
@@ -1,4 +1,4 @@
-"""Routers join by few links, prove a key, and find each other again."""
+"""Tests of the overlay network: links, authentication and membership."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from corianderlb_core.identity import InstanceId, InstanceRecord, Presence, Role
 from corianderlb_core.message import CrashReport, MemberState, UpstreamLeaving, encode
 from corianderlb_core.settings import PeerSettings
-from corianderlb_router._handshake import PeerIdentity, introduce
+from corianderlb_router._handshake import PeerIdentity, initiate
 from corianderlb_router._websocket_transport import WebSocketTransport
 from corianderlb_router.peer_link import LinkClosedError
 from corianderlb_router.peer_network import OverlayNetwork
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Run routers of one test; each knows the others from the platform's list."""
+    """Routers of one test, connected in memory and listed by the platform."""
 
     def __init__(
         self, n_routers: int, n_zones: int = 3, listed: bool = True, **tuning: float
@@ -85,7 +85,7 @@
     def members_of(self, name: str) -> list[str]:
         return [state.instance for state in self.networks[name].members()]
 
-    def assert_all_know(self, case: TrioTestCase, names: list[str]) -> None:
+    def assert_all_members(self, case: TrioTestCase, names: list[str]) -> None:
         for name in names:
             case.assertEqual(self.members_of(name), names, name)
 
@@ -95,7 +95,7 @@
         fleet = Fleet(4)
         async with fleet.running():
             await trio.sleep(3)
-            fleet.assert_all_know(self, sorted(fleet.networks))
+            fleet.assert_all_members(self, sorted(fleet.networks))
             counters = [network.counters for network in fleet.networks.values()]
             for network in fleet.networks.values():
                 self.assertEqual(len(network.linked()), 3)
@@ -107,47 +107,49 @@
         fleet = Fleet(24)
         async with fleet.running():
             await trio.sleep(15)
-            fleet.assert_all_know(self, sorted(fleet.networks))
+            fleet.assert_all_members(self, sorted(fleet.networks))
             links = [len(network.linked()) for network in fleet.networks.values()]
             self.assertLessEqual(sum(links) / len(links), 6.5)
             self.assertLess(max(links), 14)
 
-    async def test_news_reaches_all(self) -> None:
-        """An upstream instance leaves and one router of many hears of it.
+    async def test_broadcast_reaches_all(self) -> None:
+        """A broadcast that receivers repeat reaches routers beyond one hop.
 
-        One hop reaches about six of them; the others would go on sending it new work,
-        unless those who hear of it pass it on.
+        Otherwise the others would keep sending work to a leaving upstream instance.
         """
         fleet = Fleet(24)
-        heard: list[str] = []
+        received: list[str] = []
         for name, network in fleet.networks.items():
 
-            async def hear(sender: InstanceId, message: object, name=name) -> None:
-                if name not in heard:
-                    heard.append(name)
+            async def on_message(
+                sender: InstanceId, message: object, name=name
+            ) -> None:
+                if name not in received:
+                    received.append(name)
                     fleet.networks[name].broadcast(message)
 
-            network.subscribe(UpstreamLeaving, hear)
+            network.subscribe(UpstreamLeaving, on_message)
         async with fleet.running():
             await trio.sleep(15)
             fleet.networks["r00"].broadcast(UpstreamLeaving(InstanceId("e1"), 7))
             await trio.sleep(1)
-        self.assertEqual(sorted(heard), sorted(fleet.networks))
+        self.assertEqual(sorted(received), sorted(fleet.networks))
 
-    async def test_news_in_a_full_mesh_cost_few_messages(self) -> None:
-        # Every router has a link to every other. Had each of them told all others what
-        # one told them all, a word would take 22 times as many messages, and routers
-        # would have no time left for requests.
+    async def test_forwarding_in_a_full_mesh_costs_few_messages(self) -> None:
+        # In a full mesh, forwarding each update to all peers would make the number of
+        # messages quadratic.
         fleet = Fleet(24, n_peers=32)
-        heard = {"r00"}
+        received = {"r00"}
         for name, network in fleet.networks.items():
 
-            async def hear(sender: InstanceId, message: object, name=name) -> None:
-                if name not in heard:
-                    heard.add(name)
+            async def on_message(
+                sender: InstanceId, message: object, name=name
+            ) -> None:
+                if name not in received:
+                    received.add(name)
                     fleet.networks[name].pass_on(message)
 
-            network.subscribe(UpstreamLeaving, hear)
+            network.subscribe(UpstreamLeaving, on_message)
         async with fleet.running():
             await trio.sleep(15)
             links = [len(network.linked()) for network in fleet.networks.values()]
@@ -156,22 +158,22 @@
             fleet.networks["r00"].broadcast(UpstreamLeaving(InstanceId("u1"), 1))
             await trio.sleep(0.3)
             after = sum(n.counters.n_messages_in for n in fleet.networks.values())
-            self.assertEqual(heard, set(fleet.networks))
-            # Heartbeats of that time are among them.
+            self.assertEqual(received, set(fleet.networks))
+            # Includes the heartbeats sent meanwhile.
             self.assertLessEqual(after - before, 23 + 4 * 23 + 24 * 23)
 
-    async def test_news_of_late_reaches_a_new_link(self) -> None:
-        """A router starts just after a crash was broadcast.
+    async def test_recent_broadcast_reaches_a_new_link(self) -> None:
+        """A router that links after a crash report was broadcast receives it.
 
-        Without word of it, the request that crashes engines gets one more try there.
+        Otherwise the request that crashes engines would be tried once more there.
         """
         fleet = Fleet(2)
-        heard = []
+        received = []
 
-        async def hear(sender: InstanceId, message: object) -> None:
-            heard.append(message)
+        async def on_message(sender: InstanceId, message: object) -> None:
+            received.append(message)
 
-        fleet.networks["r01"].subscribe(CrashReport, hear)
+        fleet.networks["r01"].subscribe(CrashReport, on_message)
         report = CrashReport("e1@7", (b"digest",))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.run_one, "r00")
@@ -180,13 +182,13 @@
             nursery.start_soon(fleet.run_one, "r01")
             await trio.sleep(5)
             nursery.cancel_scope.cancel()
-        self.assertEqual(heard, [report])
+        self.assertEqual(received, [report])
 
-    async def test_stranger_cannot_join(self) -> None:
-        """Someone on the network dials a router without the peer key."""
+    async def test_router_with_wrong_key_cannot_join(self) -> None:
+        """A router without the right peer key is not admitted."""
         fleet = Fleet(2)
-        stranger = fleet.record("evil", 0, 1)
-        fleet.networks["evil"] = fleet.network(stranger, 1, key=b"x" * 32)
+        record = fleet.record("evil", 0, 1)
+        fleet.networks["evil"] = fleet.network(record, 1, key=b"x" * 32)
         async with fleet.running():
             await trio.sleep(10)
             self.assertEqual(fleet.members_of("r00"), ["r00", "r01"])
@@ -194,10 +196,10 @@
             self.assertGreater(fleet.networks["r00"].counters.n_strangers, 0)
 
     async def test_silent_link_is_replaced(self) -> None:
-        """A path between two routers loses track of their open connection.
+        """A link on which nothing arrives is closed and dialled again.
 
-        Sends still succeed, so without a timeout on silence the two would count each
-        other as linked for good, and neither would hear of a new catalogue.
+        Sends on it still succeed, so the routers would otherwise stay linked without
+        receiving updates.
         """
         fleet = Fleet(2)
         async with fleet.running():
@@ -209,29 +211,25 @@
             self.assertGreaterEqual(counters.n_links_silent, 1)
             self.assertEqual(fleet.networks["r00"].linked(), ("r01",))
             await trio.sleep(10)
-            fleet.assert_all_know(self, ["r00", "r01"])
+            fleet.assert_all_members(self, ["r00", "r01"])
 
     async def test_malformed_frame_closes_the_link(self) -> None:
-        """A router of a broken build sends bytes that are no message.
-
-        They are dropped and counted, and the link is closed, so that nothing of what
-        follows is misread.
-        """
+        """A malformed frame closes the link, so that later ones aren't misread."""
         fleet = Fleet(1)
         own = PeerIdentity(InstanceId("broken"), 1, "z0", "pnw")
         async with fleet.running():
             await trio.sleep(1)
             async with fleet.fabric.transport("broken").dial("r00") as link:
-                sealed = await introduce(link, own, KEY)
-                await sealed.receive()
-                await sealed.send(b"\xff\xff")
+                auth_link = await initiate(link, own, KEY)
+                await auth_link.receive()
+                await auth_link.send(b"\xff\xff")
                 with self.assertRaises(LinkClosedError):
                     while True:
-                        await sealed.receive()
+                        await auth_link.receive()
             self.assertEqual(fleet.networks["r00"].counters.n_refused, 1)
 
     async def test_forged_frame_closes_the_link(self) -> None:
-        """Someone between two routers adds a frame to their proved link."""
+        """A frame inserted by a third party is counted and refused."""
         fleet = Fleet(2)
         async with fleet.running():
             await trio.sleep(3)
@@ -243,17 +241,17 @@
             after = sum(n.counters.n_refused for n in fleet.networks.values())
             self.assertEqual(after - before, 1)
 
-    async def test_crashed_router_is_missed_by_all(self) -> None:
-        """A router of many dies without a word; its duties must move on."""
+    async def test_crashed_router_is_removed_by_all(self) -> None:
+        """All routers remove a crashed router from their members."""
         fleet = Fleet(16)
         async with fleet.running():
             await trio.sleep(15)
             fleet.scopes["r05"].cancel()
             await trio.sleep(15)
             rest = sorted(set(fleet.networks) - {"r05"})
-            fleet.assert_all_know(self, rest)
+            fleet.assert_all_members(self, rest)
 
-    async def test_restarted_router_is_a_new_life(self) -> None:
+    async def test_restarted_router_is_a_new_incarnation(self) -> None:
         fleet = Fleet(4)
         async with fleet.running() as nursery:
             await trio.sleep(5)
@@ -262,24 +260,24 @@
             fleet.networks["r01"] = fleet.network(fleet.records[1], epoch=2)
             nursery.start_soon(fleet.run_one, "r01")
             await trio.sleep(8)
-            fleet.assert_all_know(self, sorted(fleet.networks))
+            fleet.assert_all_members(self, sorted(fleet.networks))
             found = {s.instance: s.epoch for s in fleet.networks["r00"].members()}
             self.assertEqual(found["r01"], 2)
 
     async def test_start_without_the_list_finds_peers_by_seeds(self) -> None:
-        """A replaced router starts while the platform cannot be asked for the list.
+        """A router starts while the platform's list is unavailable.
 
-        It knows nobody, and those who run do not know its new address.
+        It knows no router, and the others do not know its address.
         """
         fleet = Fleet(4)
-        newcomer = fleet.record("r99", 0, 1)
+        new_router = fleet.record("r99", 0, 1)
         fleet.listed, fleet.cfg = False, PeerSettings("unused", seeds=("r02", "gone"))
-        fleet.networks["r99"] = fleet.network(newcomer, 1)
+        fleet.networks["r99"] = fleet.network(new_router, 1)
         async with fleet.running():
             await trio.sleep(6)
-            fleet.assert_all_know(self, sorted(fleet.networks))
+            fleet.assert_all_members(self, sorted(fleet.networks))
 
-    async def test_leaving_router_is_told_and_stays_listed(self) -> None:
+    async def test_leaving_router_is_announced_and_stays_listed(self) -> None:
         fleet = Fleet(12)
         async with fleet.running():
             await trio.sleep(12)
@@ -289,11 +287,10 @@
                 found = {s.instance: s.presence for s in network.members()}
                 self.assertIs(found["r03"], Presence.LEAVING)
 
-    async def test_regions_that_lost_each_other_for_an_hour(self) -> None:
-        """All links between two regions are gone for an hour, then work again.
+    async def test_regions_link_again_after_a_long_partition(self) -> None:
+        """Two regions link again after a partition of an hour.
 
-        Each region takes the other for dead. Without a try now and then at those taken
-        for dead, the two would never find each other again.
+        Each suspects all routers of the other, so suspected routers must be retried.
         """
         fleet = Fleet(4, n_zones=4, heartbeat_s=4.0, silent_after_s=15.0)
         region = {record.peer_address: record.region for record in fleet.records}
@@ -303,19 +300,19 @@
             await trio.sleep(3600)
             for name in REGIONS:
                 here = [r.instance for r in fleet.records if r.region == name]
-                fleet.assert_all_know(self, here)
+                fleet.assert_all_members(self, here)
             fleet.fabric.passes = lambda a, b: True
             await trio.sleep(60)
-            fleet.assert_all_know(self, sorted(fleet.networks))
+            fleet.assert_all_members(self, sorted(fleet.networks))
 
 
 class WebSocketTest(RealTimeTestCase):
     async def test_link_over_websockets(self) -> None:
         fleet = Fleet(2, listed=False)
-        heard = trio.Event()
+        received = trio.Event()
 
-        async def hear(sender: InstanceId, message: object) -> None:
-            heard.set()
+        async def on_message(sender: InstanceId, message: object) -> None:
+            received.set()
 
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
@@ -334,18 +331,18 @@
                             peer_address=address,
                         )
                     )
-                networks[1].subscribe(UpstreamLeaving, hear)
+                networks[1].subscribe(UpstreamLeaving, on_message)
                 for network in networks:
                     network.take_list(InstanceList(2, tuple(records)))
                 while not networks[0].linked():
                     await trio.sleep(0.05)
                 networks[0].broadcast(UpstreamLeaving(InstanceId("e1"), 7))
-                await heard.wait()
+                await received.wait()
                 self.assertGreater(networks[1].counters.n_bytes_in, 0)
                 nursery.cancel_scope.cancel()
 
     async def test_oversize_frame_is_refused(self) -> None:
-        """A peer sends a frame above the limit; it must not fill the memory."""
+        """A frame above the size limit is refused, which bounds memory use."""
         fleet = Fleet(1)
         network = fleet.networks["r00"]
         network._transport = transport = WebSocketTransport("127.0.0.1", 0)
@@ -354,11 +351,11 @@
             async with trio.open_nursery() as nursery:
                 address = await nursery.start(network.run)
                 async with transport.dial(address) as link:
-                    sealed = await introduce(link, own, KEY)
-                    await sealed.send(b"x" * (2 << 20))
+                    auth_link = await initiate(link, own, KEY)
+                    await auth_link.send(b"x" * (2 << 20))
                     with self.assertRaises(LinkClosedError):
                         while True:
-                            await sealed.receive()
+                            await auth_link.receive()
                 while not network.counters.n_refused:
                     await trio.sleep(0.05)
                 nursery.cancel_scope.cancel()
