--- a/packages/corianderlb-router/src/corianderlb_router/connection.py
+++ b/packages/corianderlb-router/src/corianderlb_router/connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to an upstream instance, over a trio stream.
 
-The errors tell how far a request got, which decides whether "not run" is true and
-whether a call may be sent again. The connection never sends anything twice.
+The errors state whether any byte of a request may have been sent, which decides whether
+it can be reported as "not run" and retried. The connection itself never retries.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 from corianderlb_core.result import ResultCode
 
 RECEIVE_BYTES: Final = 65536
-"""Most bytes taken from a socket at once, which bounds the memory of a slow caller."""
+"""Most bytes read from a socket at once; bounds the memory per slow caller."""
 
-_NOTHING_LEFT: Final = (b"", b"\r\n")
-"""What the parser holds when the chunk it gave out was the last that arrived."""
+_NO_TRAILING_DATA: Final = (b"", b"\r\n")
+"""Trailing data of the parser when no further body bytes are buffered."""
 
 _VERSION_1_1: Final = b" HTTP/1.1\r\n"
 _VERSION_1_0: Final = b" HTTP/1.0\r\n"
 
-_FRAMING: Final = frozenset({b"transfer-encoding", b"content-length"})
-"""Headers that tell where a body ends."""
+_FRAMING_HEADERS: Final = frozenset({b"transfer-encoding", b"content-length"})
+"""Headers that delimit a body."""
 
-_ENDED: Final = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
-"""States of an upstream whose answer is whole; in the latter two it closes as well."""
+_COMPLETE_STATES: Final = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
+"""Parser states after a complete response; in the last two the upstream also closes."""
 
-_WITHOUT_BODY: Final = (204, 304)
-"""Statuses whose answers have no body."""
+_BODILESS_STATUSES: Final = (204, 304)
+"""Statuses whose responses have no body."""
 
 MAX_HEAD_BYTES: Final = 65536
-"""Longest head of an answer."""
+"""Longest head of a response."""
 
 
 class UpstreamError(CorianderError):
-    """Be the base of what can go wrong between the router and an upstream."""
+    """Base class of errors between the router and an upstream."""
 
     code = ResultCode.UPSTREAM_FAILED
 
@@ -52,37 +52,37 @@
 
 
 class ConnectFailedError(UpstreamError):
-    """Signal that no connection came up, so nothing was sent."""
+    """Raised when no connection could be opened, so nothing was sent."""
 
     def __init__(self, message: str, refused: bool) -> None:
         super().__init__(message, sent=False)
         self.refused = refused
-        """True when the address answered that nobody listens."""
+        """Whether the attempt failed with an error instead of timing out."""
 
 
 class BrokenError(UpstreamError):
-    """Signal a connection that ended or spoke no HTTP before the answer was whole."""
+    """Raised when the connection fails before the response is complete."""
 
 
 class SilentError(UpstreamError):
-    """Signal a connection that made no progress for the time allowed."""
+    """Raised when a connection makes no progress within its timeout."""
 
     code = ResultCode.UPSTREAM_TIMEOUT
 
 
 class Connector(ABC):
-    """Open streams to upstream instances; tests put memory streams in place."""
+    """Opens streams to upstream instances; tests substitute memory streams."""
 
     @abstractmethod
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Return an open stream; raise ``OSError`` when there is none."""
+        """Return an open stream; raise ``OSError`` on failure."""
 
 
 class TcpConnector(Connector):
-    """Open TCP connections to ``address:port``, where the address is an IP number."""
+    """Opens TCP connections to ``address:port``, where the address is an IP address."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Return a connected socket that sends small writes at once."""
+        """Return a connected socket stream with Nagle's algorithm disabled."""
         host, _, port = address.rpartition(":")
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         raw = socket.socket(family, socket.SOCK_STREAM)
@@ -96,11 +96,11 @@
 
 
 class SocketStream(trio.abc.Stream):
-    """Read a socket with one task switch a chunk.
+    """Socket stream that waits for readability before it reads.
 
-    The events of a stream come one by one, so a read finds nothing and has to wait.
-    Trio's own stream tries to read before and yields once more after the wait, which
-    together cost as much as the read.
+    The events of a response arrive one by one, so a first read almost always blocks.
+    Trio's own stream attempts that read and yields once more after the wait, which
+    doubles the cost per chunk.
     """
 
     def __init__(self, raw: socket.socket) -> None:
@@ -111,12 +111,12 @@
         self._stream: trio.SocketStream | None = None
 
     async def connect(self, host: str, port: int) -> None:
-        """Connect to an IP number and port."""
+        """Connect to an IP address and port."""
         await self._socket.connect((host, port))
         self._stream = trio.SocketStream(self._socket)
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return the bytes that are there, at least one; empty at the end."""
+        """Return the available bytes, at least one; empty at end of stream."""
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._raw)
@@ -146,7 +146,7 @@
 
     @property
     def is_readable(self) -> bool:
-        """Whether there is something to read now: bytes, or the end."""
+        """Whether a read would return bytes or end of stream without blocking."""
         poll = select.poll()
         poll.register(self._raw.fileno(), select.POLLIN)
         return bool(poll.poll(0))
@@ -154,20 +154,20 @@
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """Hold a request as it goes over a connection."""
+    """Request as sent over a connection."""
 
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
     until_close: bool = False
-    """Ask for a body that ends by the close, as HTTP/1.0 does: one without chunks
-    costs less to read. Only for bodies that show by themselves whether they are
-    whole, since a cut looks the same as the end."""
+    """Request a body delimited by connection close, as in HTTP/1.0, which is cheaper to
+    read than chunks. Only for bodies that show by themselves whether they are complete,
+    since a broken connection looks the same as the end."""
 
 
 class Connection:
-    """Carry one exchange at a time; the pool hands it out and takes it back."""
+    """Pooled connection that carries one exchange at a time."""
 
     __slots__ = (
         "_h11",
@@ -185,15 +185,15 @@
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.address = address
         self.generation = generation
-        """The pool's generation at the opening; an older one is not taken back."""
+        """The pool's generation when opened; older ones are not reused."""
         self.idle_since = 0.0
         self.ends_by_close = False
-        """True when only the end of the connection ends the answer's body."""
+        """Whether the response body is delimited by connection close."""
         self._raw_rest = b""
         self._is_head = False
 
     async def send_request(self, request: OutgoingRequest) -> None:
-        """Send a request as one write."""
+        """Send a request in one write."""
         self._is_head = request.method == b"HEAD"
         event = h11.Request(
             method=request.method, target=request.target, headers=request.headers
@@ -208,32 +208,32 @@
         try:
             await self._stream.send_all(b"".join(parts))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
-            raise BrokenError(f"{self.address}: cut while sending", sent=True) from exc
+            raise BrokenError(
+                f"{self.address}: connection closed during send", sent=True
+            ) from exc
 
     async def receive_head(self) -> h11.Response:
-        """Return the head of the answer, past any 1xx."""
+        """Return the head of the response, skipping informational ones."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                self._note_framing(event)
+                self._record_framing(event)
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise BrokenError(
-                    f"{self.address}: closed before its answer", sent=True
-                )
+                raise BrokenError(f"{self.address}: closed before response", sent=True)
 
-    def _note_framing(self, head: h11.Response) -> None:
+    def _record_framing(self, head: h11.Response) -> None:
         names = {name for name, _ in head.headers}
-        has_body = not self._is_head and head.status_code not in _WITHOUT_BODY
-        self.ends_by_close = has_body and not names & _FRAMING
+        has_body = not self._is_head and head.status_code not in _BODILESS_STATUSES
+        self.ends_by_close = has_body and not names & _FRAMING_HEADERS
         if self.ends_by_close:
             self._raw_rest = self._h11.trailing_data[0]
 
     async def receive_raw(self) -> bytes:
-        """Return body bytes as they come, empty at the end of the connection.
+        """Return body bytes as they arrive, empty at the end of the connection.
 
-        It is for answers that end by the close, past the parser, which would add
-        nothing but its time.
+        For bodies delimited by connection close; bypasses the parser, which is not
+        needed for them.
         """
         if self._raw_rest:
             rest, self._raw_rest = self._raw_rest, b""
@@ -241,16 +241,16 @@
         return await self._receive_some()
 
     async def receive_chunk(self) -> bytes:
-        """Return the body bytes that are there, at least one; empty at its end.
+        """Return the available body bytes, at least one; empty at the end of the body.
 
-        All that arrived together comes back as one chunk, so that it costs one write
-        on the caller's side.
+        Bytes that arrived together are returned as one chunk, so that the caller needs
+        one write for them.
         """
         event = await self._next_event()
         if type(event) is not h11.Data:
             return b""
         chunk = bytes(event.data)
-        while self._h11.trailing_data[0] not in _NOTHING_LEFT:
+        while self._h11.trailing_data[0] not in _NO_TRAILING_DATA:
             event = self._parse()
             if type(event) is not h11.Data:
                 break
@@ -263,12 +263,12 @@
             if event is h11.NEED_DATA:
                 await self._receive()
             elif event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise BrokenError(f"{self.address}: closed mid-answer", sent=True)
+                raise BrokenError(f"{self.address}: closed mid-response", sent=True)
             else:
                 return event
 
     def _parse(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        if self._h11.their_state in _ENDED:
+        if self._h11.their_state in _COMPLETE_STATES:
             return h11.EndOfMessage()
         try:
             return self._h11.next_event()
@@ -286,19 +286,19 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the exchange ended whole and the upstream keeps the connection."""
+        """Whether the exchange is complete and the connection stays open."""
         states = (self._h11.our_state, self._h11.their_state)
         return states == (h11.DONE, h11.DONE) and not self._h11.trailing_data[0]
 
     def start_next_exchange(self) -> None:
-        """Make ready for the next exchange after a whole one."""
+        """Reset the parser for the next exchange after a complete one."""
         self._h11.start_next_cycle()
 
     @property
     def is_dropped(self) -> bool:
-        """Whether the upstream closed, or sent something unasked, while idle."""
+        """Whether the upstream closed or sent unsolicited data while idle."""
         return isinstance(self._stream, SocketStream) and self._stream.is_readable
 
     async def close(self) -> None:
-        """Close the socket at once, without waiting for the other side."""
+        """Close the socket without waiting for the upstream."""
         await trio.aclose_forcefully(self._stream)
--- a/packages/corianderlb-router/src/corianderlb_router/transport.py
+++ b/packages/corianderlb-router/src/corianderlb_router/transport.py
@@ -1,9 +1,9 @@
-"""Connections to upstreams as a transport of httpx, pooled by address.
+"""Transport for httpx with connections to upstreams pooled by address.
 
-The transport is our own for three reasons. It never sends a request twice. It retires
-all pooled connections to an address at once, since when one connection has gone silent
-the others opened before it have likely been forgotten by the same box in between. And
-it hands out what arrived in one piece, at a fraction of the usual cost an event.
+Differs from the transport of httpx in three ways. It never sends a request twice. It
+can retire all pooled connections to an address: if a middlebox has lost the state of
+one connection, the others have likely been lost too. And it returns bytes that arrived
+together as one chunk, at a lower cost per event.
 """
 
 from __future__ import annotations
@@ -27,30 +27,30 @@
 T = TypeVar("T")
 
 FRESH: Final = "fresh"
-"""Request extension: open a connection for this request alone."""
+"""Request extension: use a new connection instead of a pooled one."""
 
 UNTIL_CLOSE: Final = "until_close"
-"""Request extension: ask for a body that ends by the close; see the connection."""
+"""Request extension: see ``OutgoingRequest.until_close``."""
 
 SEND_BEFORE: Final = "send_before"
-"""Request extension: the router's clock after which no byte may be sent."""
+"""Request extension: time by the router's clock after which nothing may be sent."""
 
 TARGET: Final = "target"
-"""Request extension: the request target, byte for byte. A URL would be normalised on
-its way through the client, and the upstream would run another path than was asked."""
+"""Request extension: the exact request target. The client would normalise a URL, and
+the upstream would receive another path than the caller sent."""
 
 EXCHANGE: Final = "exchange"
-"""Response extension: the ``Exchange``, for reading chunks without httpx's layers."""
+"""Response extension: the ``Exchange``, for reading chunks without httpx overhead."""
 
 MAX_IDLE: Final = 32
-"""Idle connections kept to one address."""
+"""Most idle connections per address."""
 
-IDLE_S: Final = 4.0
-"""How long an idle connection is kept; common upstreams close after five seconds."""
+MAX_IDLE_S: Final = 4.0
+"""Longest idle time of a connection; common upstreams close after five seconds."""
 
 
 class ConnectionPool:
-    """Keep idle connections by address; an address can be retired as a whole."""
+    """Idle connections by address; all connections to an address can be retired."""
 
     def __init__(self, connector: Connector) -> None:
         self._connector = connector
@@ -58,11 +58,11 @@
         self._generation: dict[str, int] = {}
 
     async def take(self, address: str, fresh: bool, connect_s: float) -> Connection:
-        """Return a connection that looks alive, or a new one."""
+        """Return a usable idle connection, or a new one."""
         idle = self._idle.get(address, [])
         while idle and not fresh:
             conn = idle.pop()
-            expired = trio.current_time() - conn.idle_since > IDLE_S
+            expired = trio.current_time() - conn.idle_since > MAX_IDLE_S
             if not expired and not conn.is_dropped:
                 return conn
             await conn.close()
@@ -81,7 +81,7 @@
         return Connection(stream, address, self._generation.get(address, 0))
 
     async def give_back(self, conn: Connection) -> None:
-        """Keep a connection for reuse, or close it."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         idle = self._idle.setdefault(conn.address, [])
         current = self._generation.get(conn.address, 0)
         if not conn.is_reusable or conn.generation != current or len(idle) >= MAX_IDLE:
@@ -92,7 +92,7 @@
         idle.append(conn)
 
     async def retire(self, address: str) -> None:
-        """Close the idle connections and take none of the open ones back."""
+        """Close the idle connections to an address, the others after their exchange."""
         self._generation[address] = self._generation.get(address, 0) + 1
         for conn in self._idle.pop(address, []):
             await conn.close()
@@ -104,7 +104,7 @@
 
 
 class Exchange(httpx.AsyncByteStream):
-    """Read one answer; closing it gives the connection back or closes it."""
+    """Body of one response; closing it returns the connection to the pool."""
 
     def __init__(self, pool: ConnectionPool, conn: Connection, read_s: float) -> None:
         self._pool = pool
@@ -114,23 +114,23 @@
 
     @property
     def receive_chunk(self) -> Callable[[], Awaitable[bytes]]:
-        """The connection's own method: whoever calls it watches for stalls itself."""
+        """The connection's read method; it has no timeout, so callers detect stalls."""
         if self._conn.ends_by_close:
             return self._conn.receive_raw
         return self._conn.receive_chunk
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         if self._conn.ends_by_close:
-            # A cut would look like the end, and half an answer like the whole.
-            message = f"{self._conn.address}: an answer without its length"
+            # A broken connection can't be told from the end of the body.
+            message = f"{self._conn.address}: response without length"
             raise BrokenError(message, sent=True)
-        while chunk := await _within(
+        while chunk := await _with_timeout(
             self._read_s, self._conn, self._conn.receive_chunk
         ):
             yield chunk
 
     async def aclose(self) -> None:
-        """Let go of the connection; a second call does nothing."""
+        """Release the connection; further calls do nothing."""
         if self._closed:
             return
         self._closed = True
@@ -139,22 +139,22 @@
 
 
 class UpstreamTransport(httpx.AsyncBaseTransport):
-    """Send each request once, over a pooled or a fresh connection."""
+    """Transport that sends each request once, over a pooled or a new connection."""
 
     def __init__(self, connector: Connector) -> None:
         self.pool = ConnectionPool(connector)
-        """The pool, for retiring an address."""
+        """The connection pool."""
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Return the answer's head; its body is read from the stream."""
+        """Send a request; return the response with its body as a stream."""
         timeout = request.extensions["timeout"]
         address = request.url.netloc.decode()
         fresh = bool(request.extensions.get(FRESH))
         conn = await self.pool.take(address, fresh, timeout["connect"])
         try:
-            _check_time(request, address)
-            await _within(timeout["write"], conn, lambda: _send(conn, request))
-            head = await _within(timeout["read"], conn, conn.receive_head)
+            _check_send_deadline(request, address)
+            await _with_timeout(timeout["write"], conn, lambda: _send(conn, request))
+            head = await _with_timeout(timeout["read"], conn, conn.receive_head)
         except BaseException:
             with trio.CancelScope(shield=True):
                 await conn.close()
@@ -172,15 +172,15 @@
         await self.pool.close()
 
 
-def _check_time(request: httpx.Request, address: str) -> None:
-    """Refuse to send what may not be sent any more.
+def _check_send_deadline(request: httpx.Request, address: str) -> None:
+    """Raise ``ConnectFailedError`` if the send deadline of a request has passed.
 
-    A router can be paused between the decision and the first byte, and connecting
-    takes time too; whoever set the limit may have let somebody else act since.
+    The router may have been paused since the decision, and connecting takes time. After
+    the deadline another router may act, so the request could run twice.
     """
     limit = request.extensions.get(SEND_BEFORE, math.inf)
     if trio.current_time() >= limit:
-        raise ConnectFailedError(f"{address}: too late to send", refused=False)
+        raise ConnectFailedError(f"{address}: send deadline passed", refused=False)
 
 
 async def _send(conn: Connection, request: httpx.Request) -> None:
@@ -194,12 +194,14 @@
     await conn.send_request(outgoing)
 
 
-async def _within(
+async def _with_timeout(
     limit_s: float, conn: Connection, step: Callable[[], Awaitable[T]]
 ) -> T:
-    """Run one step of an exchange; raise ``SilentError`` when it takes too long."""
+    """Run one step of an exchange; raise ``SilentError`` on timeout."""
     try:
         with trio.fail_after(limit_s):
             return await step()
     except trio.TooSlowError as exc:
-        raise SilentError(f"{conn.address}: silent for {limit_s} s", sent=True) from exc
+        raise SilentError(
+            f"{conn.address}: no progress within {limit_s} s", sent=True
+        ) from exc
--- a/packages/corianderlb-router/tests/test_connection.py
+++ b/packages/corianderlb-router/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""The end of an upstream's answer, however it arrives."""
+"""Tests of the end of an upstream's response."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 END = b"0\r\n\r\n"
 
 
-async def receive_all(*pieces: bytes) -> bytes:
-    """Return the body of an answer that arrives in these pieces, then the end."""
+async def receive_all(*segments: bytes) -> bytes:
+    """Return the body of a response that arrives in these segments, then closes."""
     ours, theirs = trio.testing.memory_stream_pair()
     conn = Connection(ours, "10.0.0.1:80", 0)
     request = OutgoingRequest(b"GET", b"/", [(b"host", b"a")], b"")
@@ -22,8 +22,8 @@
     body = b""
 
     async def answer() -> None:
-        for piece in pieces:
-            await theirs.send_all(piece)
+        for segment in segments:
+            await theirs.send_all(segment)
             await trio.sleep(0.01)
         await theirs.aclose()
 
@@ -42,19 +42,18 @@
 
 
 class ConnectionEndTest(TrioTestCase):
-    async def test_end_in_the_last_piece_of_a_closing_upstream(self) -> None:
-        # An upstream that leaves says that it closes, and sends the last event of a
-        # stream together with the end of its body. Taken for a cut, the caller's
-        # stream would break off although every event was there.
+    async def test_end_together_with_the_last_chunk(self) -> None:
+        # The last chunk and the end of the body arrive together, then the upstream
+        # closes. The complete response must not be taken for a broken connection.
         body = await receive_all(HEAD, CHUNK + END)
         self.assertEqual(body, b"hello")
 
-    async def test_end_in_a_piece_of_its_own(self) -> None:
+    async def test_end_in_a_separate_segment(self) -> None:
         body = await receive_all(HEAD, CHUNK, END)
         self.assertEqual(body, b"hello")
 
-    async def test_cut_before_the_end(self) -> None:
-        # The upstream dies before the end of the body. The caller must see a cut, not
-        # a whole answer.
+    async def test_connection_closed_before_the_end(self) -> None:
+        # A connection that closes before the end of the body is an error, not the end
+        # of a complete response.
         with self.assertRaises(BrokenError):
             await receive_all(HEAD, CHUNK)
