--- a/packages/corianderlb-router/src/corianderlb_router/log_writer.py
+++ b/packages/corianderlb-router/src/corianderlb_router/log_writer.py
@@ -1,8 +1,8 @@
-"""Write log lines to standard output without ever waiting for its reader.
+"""Non-blocking writer of log lines to standard output.
 
-Lines wait in a bounded buffer and a task writes them. A reader that stops reading
-would otherwise stop the whole router at its next line: requests hang and nothing says
-why. What does not fit is left out, counted, and the count is the next line's news.
+A task writes lines from a bounded buffer. With blocking writes, a log reader that stops
+reading would block the whole router. Lines that don't fit are dropped and counted, and
+the count is logged once there is room in the buffer.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 import trio
 
 MAX_LINES: Final = 2_000
-"""Lines that wait at most; at 500 bytes each they take 1 MB."""
+"""Most buffered lines; about 1 MB at 500 bytes each."""
 
-REQUEST_LINES_PER_S: Final = 200.0
-"""Lines about single requests in a second; a node of the planned size has 14 requests
-a second. Beyond it, lines of requests are left out before any change of state is."""
+MAX_REQUEST_LINES_PER_S: Final = 200.0
+"""Rate limit of lines about single requests, so that a surge of requests can't displace
+lines about changes of state."""
 
-FLUSH_S: Final = 0.05
-"""Pause between two writes, so that one write carries many lines."""
+FLUSH_INTERVAL_S: Final = 0.05
+"""Interval between writes, so that one write carries many lines."""
 
 MAX_WRITE_BYTES: Final = 65536
-"""Bytes given to one write; a pipe takes that much when it is empty."""
+"""Most bytes per write; the default capacity of a pipe."""
 
 
 class LogWriter:
-    """Take messages from eliot and write them as JSON, one a line.
+    """Destination for eliot that writes messages as JSON lines.
 
-    Messages of a type that begins with ``request:`` are bounded by a rate.
+    Messages whose type begins with ``request:`` are rate-limited.
     """
 
     def __init__(
@@ -44,94 +44,93 @@
         self._clock = clock
         self._labels = labels
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._wanted = trio.Event()
-        """Set when there is something to write; an idle router is not woken for it."""
-        self._allowance = REQUEST_LINES_PER_S
+        self._unwritten = b""
+        self._write_requested = trio.Event()
+        """Set when there is something to write."""
+        self._allowance = MAX_REQUEST_LINES_PER_S
         self._refilled_at = clock()
         self.n_left_out = 0
-        """Lines that were not written since the start."""
-        self._n_told = 0
+        """Lines dropped since the start."""
+        self._n_reported = 0
         os.set_blocking(fd, False)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take a message; this is what eliot calls."""
+        """Buffer a message; called by eliot."""
         kind = str(message.get("message_type", ""))
-        if len(self._lines) >= MAX_LINES or not self._may_write(kind):
+        if len(self._lines) >= MAX_LINES or not self._is_within_rate(kind):
             self.n_left_out += 1
-            self._wanted.set()
+            self._write_requested.set()
             return
         for name in ("task_uuid", "task_level"):
             message.pop(name, None)
         line = msgspec.json.encode({**message, **self._labels}, enc_hook=str)
         self._lines.append(line + b"\n")
-        self._wanted.set()
+        self._write_requested.set()
 
     async def run(self) -> None:
         """Write until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
-            await trio.sleep(FLUSH_S)
-            self._tell_left_out()
+            await self._write_requested.wait()
+            self._write_requested = trio.Event()
+            await trio.sleep(FLUSH_INTERVAL_S)
+            self._log_dropped()
             self.flush()
-            if self._lines or self._rest:
-                self._wanted.set()
+            if self._lines or self._unwritten:
+                self._write_requested.set()
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
-        while self._lines or self._rest:
+        """Write as many buffered lines as possible without blocking."""
+        while self._lines or self._unwritten:
             self._fill()
             try:
-                n_written = os.write(self._fd, self._rest)
+                n_written = os.write(self._fd, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read it; the router serves on without its log.
+                # Standard output is closed; the router continues without logs.
                 self.n_left_out += len(self._lines) + 1
                 self._lines.clear()
-                self._rest = b""
+                self._unwritten = b""
                 return
-            self._rest = self._rest[n_written:]
-            if self._rest:
+            self._unwritten = self._unwritten[n_written:]
+            if self._unwritten:
                 return
 
     def _fill(self) -> None:
-        parts = [self._rest]
-        n_bytes = len(self._rest)
+        parts = [self._unwritten]
+        n_bytes = len(self._unwritten)
         while self._lines and n_bytes < MAX_WRITE_BYTES:
             parts.append(self._lines.popleft())
             n_bytes += len(parts[-1])
-        self._rest = b"".join(parts)
+        self._unwritten = b"".join(parts)
 
-    def _may_write(self, kind: str) -> bool:
+    def _is_within_rate(self, kind: str) -> bool:
         if not kind.startswith("request:"):
             return True
         now = self._clock()
-        earned = max(0.0, now - self._refilled_at) * REQUEST_LINES_PER_S
-        self._allowance = min(REQUEST_LINES_PER_S, self._allowance + earned)
+        earned = max(0.0, now - self._refilled_at) * MAX_REQUEST_LINES_PER_S
+        self._allowance = min(MAX_REQUEST_LINES_PER_S, self._allowance + earned)
         self._refilled_at = now
         if self._allowance < 1:
             return False
         self._allowance -= 1
         return True
 
-    def _tell_left_out(self) -> None:
-        n_new = self.n_left_out - self._n_told
+    def _log_dropped(self) -> None:
+        n_new = self.n_left_out - self._n_reported
         if n_new and len(self._lines) < MAX_LINES:
-            self._n_told = self.n_left_out
+            self._n_reported = self.n_left_out
             self({"message_type": "log:left_out", "n_lines": n_new})
 
 
 class LibraryLogHandler(logging.Handler):
-    """Bring what libraries log into the router's own lines, one for each record.
+    """Forwards log records of libraries to eliot, one line per record.
 
-    On standard error their tracebacks stand apart from the lines around them, and
-    nobody sees which link or request they belong to.
+    Tracebacks on standard error could not be related to the router's own log lines.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record; a traceback is shortened to the exception itself."""
+        """Log one record, with the exception but without its traceback."""
         exc = record.exc_info[1] if record.exc_info else None
         eliot.log_message(
             message_type="library:log",
--- a/packages/corianderlb-router/src/corianderlb_router/metric.py
+++ b/packages/corianderlb-router/src/corianderlb_router/metric.py
@@ -1,7 +1,6 @@
-"""Counters and gauges of a router, kept with OpenTelemetry, read by Prometheus.
+"""Metrics of a router, recorded with OpenTelemetry and exposed to Prometheus.
 
-Counters are the first thing an operator looks at; logs only tell changes of state. No
-label has a value from a caller's free text, so the number of series stays bounded.
+No label takes free text from callers, so the number of series is bounded.
 """
 
 from __future__ import annotations
@@ -20,14 +19,14 @@
 from corianderlb_core.result import ResultCode
 
 TTFT_BUCKETS_S: Final = (0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.7, 2.5, 4.0, 8.0, 16.0)
-"""Borders for times to first token, with one at the 1.7 s that users ask for."""
+"""Bucket bounds for the TTFT, including the 1.7 s objective."""
 
 CONTENT_TYPE: Final = "text/plain; version=0.0.4; charset=utf-8"
 """Content type of the exposition."""
 
 
 class Gauge(Enum):
-    """Name the values that are read at the time of a scrape."""
+    """Gauges that are read at each scrape."""
 
     CATALOGUE_VERSION = "corianderlb_catalogue_version"
     IN_FLIGHT = "corianderlb_requests_in_flight"
@@ -36,8 +35,8 @@
     WAITING = "corianderlb_requests_waiting"
 
 
-class Tally(Enum):
-    """Name the counters that other parts keep and that are read at a scrape."""
+class CounterGroup(Enum):
+    """Groups of counters kept by other components and read at each scrape."""
 
     STORE_CALLS = "corianderlb_store_calls_total"
     STORE_FAILURES = "corianderlb_store_call_failures_total"
@@ -50,7 +49,7 @@
 
 
 class Metrics:
-    """Count what a router does.
+    """Counters, gauges and histograms of one router.
 
     For example ``request_ended(ResultCode.OK, ServiceClass.URGENT)`` adds one to
     ``corianderlb_requests_total{code="0",class="urgent"}``.
@@ -73,7 +72,7 @@
         self._ttft = self._meter.create_histogram("corianderlb_ttft_seconds")
 
     def request_ended(self, code: ResultCode, service_class: ServiceClass) -> None:
-        """Count one answer to a caller."""
+        """Count one response to a caller."""
         labels = {"code": str(int(code)), "class": service_class.value}
         self._requests.add(1, labels)
 
@@ -89,32 +88,33 @@
     def prompt_served(self, cached_tokens: int, computed_tokens: int) -> None:
         """Count prompt tokens by whether the engine had them cached.
 
-        The hit rate is ``cached`` over the sum of both; ``computed`` of prompts that
-        were sent before is wasted recomputation.
+        The hit rate is ``cached`` divided by the sum of both.
         """
         self._tokens.add(cached_tokens, {"source": "cached"})
         self._tokens.add(computed_tokens, {"source": "computed"})
 
     def events_relayed(self, n_events: int) -> None:
-        """Count the events of a stream, once at its end."""
+        """Count the events of a completed stream."""
         self._events.add(n_events)
 
     def watch_gauge(self, gauge: Gauge, read: Callable[[], float]) -> None:
-        """Have a value read at each scrape."""
+        """Register a gauge that is read at each scrape."""
 
         def observe(options: CallbackOptions) -> Iterable[Observation]:
             return [Observation(read())]
 
         self._meter.create_observable_gauge(gauge.value, [observe])
 
-    def watch_tally(self, tally: Tally, read: Callable[[], dict[str, float]]) -> None:
-        """Have a counter of another part read at each scrape, by its kind."""
+    def watch_counters(
+        self, counter_group: CounterGroup, read: Callable[[], dict[str, float]]
+    ) -> None:
+        """Register a group of counters, by kind, that is read at each scrape."""
 
         def observe(options: CallbackOptions) -> Iterable[Observation]:
             return [Observation(n, {"kind": kind}) for kind, n in read().items()]
 
-        self._meter.create_observable_counter(tally.value, [observe])
+        self._meter.create_observable_counter(counter_group.value, [observe])
 
     def exposition(self) -> bytes:
-        """Return all values in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/packages/corianderlb-router/src/corianderlb_router/node_metric.py
+++ b/packages/corianderlb-router/src/corianderlb_router/node_metric.py
@@ -1,4 +1,4 @@
-"""Connect the counters that the parts of a router keep to its metrics and status."""
+"""Exposes the counters of a router's components in its metrics and status."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from .kv_importer import KvImporter
 from .limiter import Limiter
 from .load_gossip import LoadGossip
-from .metric import Gauge, Metrics, Tally
+from .metric import CounterGroup, Gauge, Metrics
 from .peer_network import OverlayNetwork
 from .upstream_reader import UpstreamReader
 
 
 @dataclass(frozen=True)
 class NodeCounters:
-    """Hold the parts that count, and read them on request."""
+    """Components whose counters are read for metrics and status."""
 
     store: HttpObjectStore
     peers: OverlayNetwork
@@ -42,9 +42,9 @@
     importer: KvImporter
 
     def watch(self, metrics: Metrics) -> None:
-        """Have the counters and gauges read at each scrape."""
-        for tally, read in self._tallies().items():
-            metrics.watch_tally(tally, read)
+        """Register the counters and gauges to be read at each scrape."""
+        for counter_group, read in self._counter_groups().items():
+            metrics.watch_counters(counter_group, read)
         metrics.watch_gauge(Gauge.WAITING, self._n_waiting)
         metrics.watch_gauge(Gauge.CATALOGUE_VERSION, self._version)
         metrics.watch_gauge(Gauge.IN_FLIGHT, lambda: len(self.exchanges))
@@ -52,50 +52,50 @@
         metrics.watch_gauge(Gauge.QUARANTINED, lambda: len(self.quarantine.status()))
 
     def status(self) -> tuple[CounterStatus, ...]:
-        """Return all counters, for ``corianderctl status`` and the slopes."""
+        """Return all counters, for ``corianderctl status``."""
         return tuple(
-            CounterStatus(f"{tally.name.lower()}.{kind}", value)
-            for tally, read in self._tallies().items()
+            CounterStatus(f"{counter_group.name.lower()}.{kind}", value)
+            for counter_group, read in self._counter_groups().items()
             for kind, value in sorted(read().items())
         )
 
-    def _tallies(self) -> dict[Tally, Callable[[], dict[str, float]]]:
-        """Return what reads each group of counters, for metrics and status alike."""
+    def _counter_groups(self) -> dict[CounterGroup, Callable[[], dict[str, float]]]:
+        """Return the function that reads each group of counters."""
         return {
-            Tally.STORE_CALLS: self.store_calls,
-            Tally.STORE_FAILURES: self.store_failures,
-            Tally.PEERS: self.peer_counts,
-            Tally.CATALOGUE: self.catalogue_counts,
-            Tally.JOURNAL: self.journal_counts,
-            Tally.ADMISSION: self.admission_counts,
-            Tally.PLACEMENT: self.placement_counts,
+            CounterGroup.STORE_CALLS: self.store_calls,
+            CounterGroup.STORE_FAILURES: self.store_failures,
+            CounterGroup.PEERS: self.peer_counts,
+            CounterGroup.CATALOGUE: self.catalogue_counts,
+            CounterGroup.JOURNAL: self.journal_counts,
+            CounterGroup.ADMISSION: self.admission_counts,
+            CounterGroup.PLACEMENT: self.placement_counts,
         }
 
     def store_calls(self) -> dict[str, float]:
-        """Return the calls to the store, by kind."""
+        """Return the number of calls to the store, by kind."""
         return {kind.value: float(n) for kind, n in self.store.n_calls.items()}
 
     def store_failures(self) -> dict[str, float]:
-        """Return the calls to the store that failed, by kind."""
+        """Return the number of failed calls to the store, by kind."""
         return {kind.value: float(n) for kind, n in self.store.n_failed.items()}
 
     def peer_counts(self) -> dict[str, float]:
-        """Return what went over the links to other routers."""
+        """Return the traffic counters of the links to other routers."""
         counted = dataclasses.asdict(self.peers.counters)
         return {name.removeprefix("n_"): float(n) for name, n in counted.items()}
 
     def catalogue_counts(self) -> dict[str, float]:
-        """Return the ways that the catalogue came here, and what they cost."""
+        """Return the counters of catalogue updates and reads."""
         counted = dataclasses.asdict(self.catalogue.counters)
         counted |= dataclasses.asdict(self.reader.counters)
         return {name.removeprefix("n_"): float(n) for name, n in counted.items()}
 
     def journal_counts(self) -> dict[str, float]:
-        """Return what the journal of non-repeatable calls did, over its shards."""
+        """Return the call journal's counters, summed over its shards."""
         return _summed([shard.counts for shard in self.journal.shards])
 
     def placement_counts(self) -> dict[str, float]:
-        """Return what knowing the upstream instances took, and the imports."""
+        """Return the counters of load reads, load gossip and cache imports."""
         return {
             "load_reads": float(self.loads.n_reads),
             "load_read_failures": float(self.loads.n_failures),
@@ -108,7 +108,7 @@
         }
 
     def admission_counts(self) -> dict[str, float]:
-        """Return how requests fared at the gates of all upstreams."""
+        """Return the admission counters, summed over the gates of all upstreams."""
         return _summed([gate.counts for gate in self.limiter.gates.values()])
 
     def _n_waiting(self) -> float:
@@ -120,7 +120,7 @@
 
 
 def _summed(counts: Sequence[ShardCounts | GateCounts]) -> dict[str, float]:
-    """Return the sums of counters of one class, by name."""
+    """Return the sums of several counters of one class, by field."""
     total: Counter[str] = Counter()
     for one in counts:
         total.update(dataclasses.asdict(one))
--- a/packages/corianderlb-router/tests/test_log_writer.py
+++ b/packages/corianderlb-router/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logs must not stop a router, whoever reads them and however much is logged."""
+"""Tests of the log writer: it never blocks, and drops request lines first."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from corianderlb_router.log_writer import (
     MAX_LINES,
-    REQUEST_LINES_PER_S,
+    MAX_REQUEST_LINES_PER_S,
     LibraryLogHandler,
     LogWriter,
 )
@@ -20,23 +20,23 @@
 
 class LogWriterTest(TrioTestCase):
     def open(self) -> tuple[LogWriter, int]:
-        """Return a writer and the reading end of its pipe."""
-        reading, writing = os.pipe()
-        self.addCleanup(os.close, reading)
-        self.addCleanup(os.close, writing)
-        return LogWriter(writing, trio.current_time, {"node": "r1"}), reading
+        """Return a writer and the read end of its pipe."""
+        read_fd, write_fd = os.pipe()
+        self.addCleanup(os.close, read_fd)
+        self.addCleanup(os.close, write_fd)
+        return LogWriter(write_fd, trio.current_time, {"node": "r1"}), read_fd
 
     async def test_line_is_json_with_its_labels(self) -> None:
-        writer, reading = self.open()
+        writer, read_fd = self.open()
         writer({"message_type": "store:lost", "task_uuid": "x"})
         writer.flush()
-        line = json.loads(os.read(reading, 4096))
+        line = json.loads(os.read(read_fd, 4096))
         self.assertEqual(line, {"message_type": "store:lost", "node": "r1"})
 
-    async def test_reader_that_stops_reading(self) -> None:
-        # Whoever collects the logs hangs. The router goes on: lines beyond the buffer
-        # are left out and counted, and the count is told once somebody reads again.
-        writer, reading = self.open()
+    async def test_log_reader_that_stops_reading(self) -> None:
+        # While the log reader hangs, lines beyond the buffer are dropped and counted,
+        # and the count is logged once it reads again.
+        writer, read_fd = self.open()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(writer.run)
             for n in range(4 * MAX_LINES):
@@ -44,31 +44,29 @@
                 if n % 100 == 0:
                     await trio.sleep(0.01)
             self.assertGreater(writer.n_left_out, 0)
-            os.set_blocking(reading, False)
-            told = b""
+            os.set_blocking(read_fd, False)
+            output = b""
             for _ in range(100):
                 await trio.sleep(0.1)
                 try:
-                    told += os.read(reading, 1 << 20)
+                    output += os.read(read_fd, 1 << 20)
                 except BlockingIOError:
                     break
-            self.assertIn(b"log:left_out", told)
+            self.assertIn(b"log:left_out", output)
             nursery.cancel_scope.cancel()
 
-    async def test_requests_are_left_out_before_changes_of_state(self) -> None:
-        # A storm of requests comes just when an upstream falls. The lines that explain
-        # it must not drown in those of the requests.
+    async def test_request_lines_are_dropped_before_state_changes(self) -> None:
+        # In a surge of requests, lines about changes of state must still be written.
         writer, _ = self.open()
-        for n in range(2 * int(REQUEST_LINES_PER_S)):
+        for n in range(2 * int(MAX_REQUEST_LINES_PER_S)):
             writer({"message_type": "request:ended", "n": n})
         n_left_out = writer.n_left_out
-        self.assertEqual(n_left_out, int(REQUEST_LINES_PER_S))
+        self.assertEqual(n_left_out, int(MAX_REQUEST_LINES_PER_S))
         writer({"message_type": "upstream:removed"})
         self.assertEqual(writer.n_left_out, n_left_out)
 
-    def test_what_a_library_logs_is_a_line_too(self) -> None:
-        # A link's library fails on a frame that comes after its end, and prints a
-        # traceback between the lines that an engineer reads.
+    def test_library_records_become_log_lines(self) -> None:
+        # Errors logged by a library become log lines instead of tracebacks on stderr.
         lines: list[dict] = []
         eliot.add_destinations(lines.append)
         self.addCleanup(eliot.remove_destination, lines.append)
--- a/packages/corianderlb-router/tests/test_metric.py
+++ b/packages/corianderlb-router/tests/test_metric.py
@@ -1,4 +1,4 @@
-"""The exposition shows what was counted, under bounded labels."""
+"""Tests of the metrics exposition."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from corianderlb_core.catalogue import ServiceClass
 from corianderlb_core.result import ResultCode
-from corianderlb_router.metric import Gauge, Metrics, Tally
+from corianderlb_router.metric import CounterGroup, Gauge, Metrics
 
 
 class MetricTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         metrics.first_token(0.3, ServiceClass.URGENT)
         metrics.prompt_served(cached_tokens=3000, computed_tokens=1000)
         metrics.watch_gauge(Gauge.CATALOGUE_VERSION, lambda: 7.0)
-        metrics.watch_tally(Tally.STORE_CALLS, lambda: {"get": 4.0})
+        metrics.watch_counters(CounterGroup.STORE_CALLS, lambda: {"get": 4.0})
         text = metrics.exposition().decode()
         for line in (
             'corianderlb_requests_total{class="urgent",code="0"} 1.0',
