--- a/packages/corianderlb-router/src/corianderlb_router/__init__.py
+++ b/packages/corianderlb-router/src/corianderlb_router/__init__.py
@@ -1,3 +1,3 @@
-"""The router process: tasks that own their sockets and state and talk by messages."""
+"""The router process."""
 
 from __future__ import annotations
--- a/packages/corianderlb-router/src/corianderlb_router/_future.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_future.py
@@ -10,20 +10,20 @@
 
 
 class Future(Generic[T]):
-    """Carry one value from an actor to the task that asked for it."""
+    """Result of a request to an actor, set once."""
 
     def __init__(self) -> None:
         self._done = trio.Event()
         self.value: T | None = None
-        """The value, once it is set."""
+        """The value, or None until it is set."""
 
     def set(self, value: T) -> None:
-        """Give the value; the first one stays."""
+        """Set the value; later calls have no effect."""
         if not self._done.is_set():
             self.value = value
             self._done.set()
 
     async def wait(self) -> T:
-        """Return the value once it is there."""
+        """Wait for the value and return it."""
         await self._done.wait()
         return self.value  # type: ignore[return-value]
--- a/packages/corianderlb-router/src/corianderlb_router/_main.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_main.py
@@ -18,18 +18,18 @@
 from .node import serve
 
 EXIT_SETTINGS: Final = 2
-"""Exit code for settings that cannot be used."""
+"""Exit code for invalid settings."""
 
 EXIT_LISTEN: Final = 3
-"""Exit code when the address of the settings cannot be listened on."""
+"""Exit code if the configured address can't be bound."""
 
 _EPILOG: Final = """\
 examples:
-  corianderlb --settings router.yaml --check   look for mistakes, start nothing
+  corianderlb --settings router.yaml --check   check the settings, then exit
   corianderlb --settings router.yaml           serve until SIGTERM
 
-SIGTERM once: readiness turns, every request is finished, then the router leaves.
-SIGTERM twice: the router ends at once and logs which requests it cut.
+SIGTERM once: the readiness check fails, all requests complete, the router exits.
+SIGTERM twice: the router exits at once and logs the ids of the requests it aborted.
 """
 
 
--- a/packages/corianderlb-router/src/corianderlb_router/actor.py
+++ b/packages/corianderlb-router/src/corianderlb_router/actor.py
@@ -1,8 +1,8 @@
-"""An object with a message queue, one task and a handler for each message.
+"""Base class of actors: a message queue, one task and a handler per message class.
 
-A long-lived part of the router is an ``Actor``: its state is touched by its own task
-alone, so no lock is needed and a failure has one place to show. Others ``post`` small
-frozen messages to it. The handler of ``ChangesArrived`` is ``on_changes_arrived``.
+The state of an ``Actor`` is accessed only by its own task, so it needs no lock, and its
+failures surface in one task. Other tasks ``post`` small frozen messages to it. The
+handler of ``ChangesArrived`` is ``on_changes_arrived``.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from corianderlb_core.error import CorianderError
 
 DEFAULT_QUEUE_SIZE: Final = 1024
-"""Messages that wait at most; more are refused and counted, so memory is bounded."""
+"""Most queued messages; more are rejected and counted, which bounds memory."""
 
 
 class UnhandledMessageError(CorianderError):
-    """Signal a message that the actor's class has no handler for."""
+    """Raised for a message that the actor has no handler for."""
 
 
 class Actor:
-    """Own some state and handle messages about it, one at a time.
+    """Handles messages one at a time in a single task.
 
-    Subclasses write ``async def on_<message>(self, message)``, and may override
-    ``started`` and ``stopped``. ``run`` returns after ``close`` or by cancellation.
+    Subclasses define ``async def on_<message>(self, message)``, and may override
+    ``started`` and ``stopped``. ``run`` returns after ``close`` or on cancellation.
     """
 
     def __init__(self, queue_size: int | float = DEFAULT_QUEUE_SIZE) -> None:
         self._send, self._receive = trio.open_memory_channel[Any](queue_size)
         self.n_dropped = 0
-        """Messages refused because the queue was full."""
+        """Messages rejected because the queue was full."""
 
     def post(self, message: Any) -> bool:
-        """Queue a message; return False, and count it, when the queue is full."""
+        """Queue a message; return False and count it if the queue is full."""
         try:
             self._send.send_nowait(message)
         except trio.WouldBlock:
@@ -45,7 +45,7 @@
         return True
 
     def close(self) -> None:
-        """Let ``run`` return once the queued messages are handled."""
+        """Close the queue; ``run`` returns once the queued messages are handled."""
         self._send.close()
 
     async def run(self) -> None:
@@ -58,19 +58,19 @@
             await self.stopped()
 
     async def dispatch(self, message: Any) -> None:
-        """Pass one message to its handler."""
+        """Call the handler of a message."""
         handler = getattr(self, handler_name(type(message)), None)
         if handler is None:
             raise UnhandledMessageError(
-                f"{type(self).__name__} has no {handler_name(type(message))}; add it"
+                f"{type(self).__name__} has no handler {handler_name(type(message))}"
             )
         await handler(message)
 
     async def started(self) -> None:
-        """Prepare before the first message; override where needed."""
+        """Called before the first message."""
 
     async def stopped(self) -> None:
-        """Release what the actor owns; runs under cancellation too."""
+        """Called at the end, also on cancellation; release resources here."""
 
 
 @cache
--- a/packages/corianderlb-router/src/corianderlb_router/admin_view.py
+++ b/packages/corianderlb-router/src/corianderlb_router/admin_view.py
@@ -1,4 +1,4 @@
-"""Answer operators: what is in force here, what is in flight, what was decided."""
+"""State of a router as shown by its administration paths."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from .order_keeper import OrderKeeper
 
 READY_STATES = frozenset({"serving"})
-"""States of the router's chart in which the balancer may send requests."""
+"""States of the router's life cycle in which the balancer may send requests."""
 
 
 @dataclass(frozen=True)
 class AdminView:
-    """Hold what the administration paths read."""
+    """Read access to the components for the administration paths."""
 
     settings: RouterSettings
     epoch: int
@@ -47,7 +47,7 @@
     exchanges: ExchangeRegistry
     counters: NodeCounters
     start_drain: Callable[[], None]
-    """Begins the shutdown as the first SIGTERM does."""
+    """Starts the shutdown like the first SIGTERM."""
 
     @property
     def state(self) -> str:
@@ -63,7 +63,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the router is on its way out."""
+        """Whether the router is draining."""
         return self.cycle.state == "draining"
 
     @property
@@ -74,16 +74,16 @@
 
     @property
     def catalogue_version(self) -> int:
-        """The version in force; 0 before the first."""
+        """The catalogue version in force; 0 before the first."""
         catalogue = self.catalogue
         return catalogue.version if catalogue else 0
 
     def decision(self, decision_id: DecisionId) -> DecisionReport | None:
-        """Return a decision that is still kept, or None."""
+        """Return a decision, or None if it is no longer stored."""
         return self.parts.decisions.get(decision_id)
 
     def status(self) -> RouterStatus:
-        """Return everything an operator sees of this router."""
+        """Return the status of this router."""
         in_force = self.catalogue_source.current()
         now = trio.current_time()
         return RouterStatus(
--- a/packages/corianderlb-router/src/corianderlb_router/app.py
+++ b/packages/corianderlb-router/src/corianderlb_router/app.py
@@ -1,8 +1,7 @@
-"""The HTTP application: small answers by quart, the data path on bare ASGI.
+"""The HTTP application: quart for most routes, plain ASGI for the data path.
 
-Quart serves what is asked now and then: models, health, administration. Requests of
-callers go past it to the dispatcher, since a stream costs less when its events are
-sent without a response object in between.
+Quart serves models, health and administration. Requests on the data path bypass it and
+go to the dispatcher, since streaming without response objects costs less per event.
 """
 
 from __future__ import annotations
@@ -36,11 +35,11 @@
 from .metric import CONTENT_TYPE
 
 JSON: Final = "application/json"
-"""Media type of most answers."""
+"""Media type of most responses."""
 
 
 class DataPathMiddleware:
-    """Hand requests of the data path to the dispatcher, all others to quart."""
+    """Routes data-path requests to the dispatcher, all others to quart."""
 
     def __init__(self, asgi_app: Any, dispatcher: Dispatcher) -> None:
         self._asgi_app = asgi_app
@@ -49,7 +48,7 @@
     async def __call__(
         self, scope: dict[str, Any], receive: Receive, send: Send
     ) -> None:
-        """Serve one connection event of the server."""
+        """Serve one ASGI connection."""
         if scope["type"] == "http" and self._dispatcher.takes(scope["path"]):
             await self._dispatcher.handle(CallerExchange(scope, receive, send))
             return
--- a/packages/corianderlb-router/src/corianderlb_router/boot_clock.py
+++ b/packages/corianderlb-router/src/corianderlb_router/boot_clock.py
@@ -1,8 +1,8 @@
-"""A runtime clock that counts the time for which the machine was suspended.
+"""Trio clock that includes the time for which the machine was suspended.
 
-The steady clock stands still while a machine is suspended. A lease, or the age of a
-configuration, would then look younger to this process than to everybody else: it would
-give orders under a lease that another router has already taken.
+The monotonic clock stops while a machine is suspended. A lease would then expire later
+for this process than for other routers, and it would give orders under a lease that
+another router has already acquired.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class BootClock(trio.abc.Clock):
-    """Give the seconds since the machine started, suspensions included."""
+    """Seconds since boot, including suspension."""
 
     def start_clock(self) -> None:
-        """Do nothing: the machine's clock runs by itself."""
+        """Do nothing: the system clock needs no start."""
 
     def current_time(self) -> float:
         """Return the time in seconds."""
--- a/packages/corianderlb-router/src/corianderlb_router/composition.py
+++ b/packages/corianderlb-router/src/corianderlb_router/composition.py
@@ -1,4 +1,4 @@
-"""Make the parts of one router and connect them, in the order they need each other."""
+"""Creates the components of one router in dependency order and connects them."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Composition:
-    """Hold the parts of one router; ``tasks`` are what has to run for them."""
+    """Components of one router; ``tasks`` are the functions to run for them."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
@@ -67,13 +67,13 @@
         self._make_counters()
 
     def make_dispatcher(self) -> Dispatcher:
-        """Return what answers callers."""
+        """Return the dispatcher of callers' requests."""
         return Dispatcher(
             self.parts, self.catalogue, self.limiter, self.journal, self.exchanges
         )
 
     def make_admin_view(self, start_drain: Callable[[], None]) -> AdminView:
-        """Return what answers operators."""
+        """Return the view for the administration paths."""
         return AdminView(
             settings=self.settings,
             epoch=self.epoch,
@@ -90,12 +90,12 @@
         )
 
     def send(self, event: str) -> None:
-        """Take the life cycle on by an event, and log a change."""
+        """Send an event to the life cycle, and log a change of state."""
         if self.cycle.send(event):
             eliot.log_message(message_type="router:state", state=self.cycle.state)
 
     async def close(self) -> None:
-        """Close the connections that are still open."""
+        """Close all open connections."""
         await self.client.close()
         await self.store.aclose()
 
@@ -117,15 +117,15 @@
         return OverlayNetwork(own, key, transport, cfg.peer, self.rng)
 
     def _make_upstreams(self) -> None:
-        """Make what knows the upstream instances and chooses among them."""
+        """Create the directory, load readers and placement of upstream instances."""
         cfg = self.settings
         self.directory = PlatformDirectory(announce=self.peers.broadcast)
         self.peers.subscribe(UpstreamLeaving, self.directory.on_upstream_leaving)
         policy = make_policy(cfg.placement, self.rng, cfg.zone)
         self.placer = PolicyPlacer(policy, self.directory, self.rng)
         self.directory.on_life_ended = self.placer.forget
-        takers = [self.directory.apply_list, self.peers.take_list]
-        self.instances = InstanceListReader(self.store, takers, self.peers, self.rng)
+        receivers = [self.directory.apply_list, self.peers.take_list]
+        self.instances = InstanceListReader(self.store, receivers, self.peers, self.rng)
         self.loads = UpstreamReader(
             self.own,
             cfg.region,
@@ -176,7 +176,7 @@
         self.tasks += [health.run, stalls.run]
 
     def _make_calls(self) -> None:
-        """Make what bounds requests, keeps calls at most once and orders engines."""
+        """Create the limiter, the call journal and the controller of engine orders."""
         cfg = self.settings
         self.journal = StoreCallJournal(
             self.store, self.own, self.epoch, cfg.journal, self.peers
--- a/packages/corianderlb-router/src/corianderlb_router/isolation_watch.py
+++ b/packages/corianderlb-router/src/corianderlb_router/isolation_watch.py
@@ -1,4 +1,4 @@
-"""Take a router out of service while its catalogue may be out of date."""
+"""Takes a router out of service while its catalogue may be stale."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from .interface import CatalogueSource
 
-LOOK_S: Final = 0.5
-"""Seconds between two looks; each decision asks for itself besides."""
+POLL_INTERVAL_S: Final = 0.5
+"""Poll interval; each routing decision checks for staleness as well."""
 
 
 class IsolationWatch:
-    """Send the life cycle's events ``isolated`` and ``reconnected``.
+    """Sends the events ``isolated`` and ``reconnected`` to the life cycle.
 
-    The readiness path turns with them, so that the balancer sends callers to instances
-    that are better off.
+    The readiness check follows them, so that the balancer sends requests to other
+    routers meanwhile.
     """
 
     def __init__(self, catalogue: CatalogueSource, send: Callable[[str], None]) -> None:
@@ -25,7 +25,7 @@
         self._send = send
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Poll the catalogue source until cancelled."""
         while True:
             self._send("isolated" if self._catalogue.is_stale() else "reconnected")
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
--- a/packages/corianderlb-router/src/corianderlb_router/node.py
+++ b/packages/corianderlb-router/src/corianderlb_router/node.py
@@ -1,4 +1,4 @@
-"""Take one router through its life: start its tasks, serve, drain, end."""
+"""Lifecycle of a router process: start, serve, drain, stop."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from .app import make_app
 from .composition import Composition
 
-READY_POLL_S: Final = 0.02
-"""How often a starting router looks whether catalogue and instances have arrived."""
+READY_POLL_INTERVAL_S: Final = 0.02
+"""Poll interval of a starting router for the catalogue and the instance list."""
 
-JOURNAL_DRAIN_S: Final = 5.0
-"""Longest wait at the end for answers that are not recorded yet."""
+JOURNAL_DRAIN_TIMEOUT_S: Final = 5.0
+"""Longest wait at shutdown for answers that are not recorded yet."""
 
-CUT_GRACE_S: Final = 0.5
-"""How long cut exchanges have to tell their callers."""
+ABORT_GRACE_S: Final = 0.5
+"""Longest wait for aborted exchanges to notify their callers."""
 
-KEEP_ALIVE_S: Final = 60.0
-"""How long a caller's idle connection is kept."""
+KEEP_ALIVE_TIMEOUT_S: Final = 60.0
+"""Longest idle time of a caller's connection."""
 
-NEVER_S: Final = 10.0**9
-"""A server time limit that never strikes: the node itself waits for the exchanges."""
+UNLIMITED_S: Final = 10.0**9
+"""Disables the server's shutdown timeouts: the node itself waits for the exchanges."""
 
 
 class Node:
-    """Start and stop the parts of one router."""
+    """Starts and stops the components of one router."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self._settings = settings
@@ -46,7 +46,7 @@
         self._stop_listening = trio.Event()
 
     async def run(self) -> None:
-        """Serve until told to end; return once nothing is left to finish."""
+        """Serve until terminated; return after shutdown is complete."""
         parts = self._parts
         app = make_app(
             parts.make_dispatcher(),
@@ -62,8 +62,8 @@
             parts.peers.set_addresses(address, peer_address)
             self._print_listening(address, peer_address)
             nursery.start_soon(self._become_ready)
-            nursery.start_soon(self._take_signals)
-            await self._live()
+            nursery.start_soon(self._handle_signals)
+            await self._run_until_stopped()
             nursery.cancel_scope.cancel()
         await parts.close()
 
@@ -73,12 +73,12 @@
         config = hypercorn.config.Config()
         listen = self._settings.listen
         config.bind = [f"{listen.host}:{listen.port}"]
-        config.graceful_timeout = NEVER_S
-        config.shutdown_timeout = NEVER_S
-        config.keep_alive_timeout = KEEP_ALIVE_S
+        config.graceful_timeout = UNLIMITED_S
+        config.shutdown_timeout = UNLIMITED_S
+        config.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
         config.include_server_header = False
         config.loglevel = "WARNING"
-        # Above our own limit, so that the answer to longer headers is ours.
+        # Above the router's own limit, so that the router answers oversized headers.
         config.h11_max_incomplete_size = 2 * self._settings.data_path.max_header_bytes
         await hypercorn.trio.serve(
             app,
@@ -97,54 +97,54 @@
             self._parts.catalogue.current() is None
             or not self._parts.instances.has_list
         ):
-            await trio.sleep(READY_POLL_S)
+            await trio.sleep(READY_POLL_INTERVAL_S)
         self._parts.send("catalogue_ready")
 
-    async def _take_signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 self._on_terminate()
 
     def _on_terminate(self) -> None:
-        """Take a request to end: the first drains, the second ends at once."""
+        """Handle a termination request: the first drains, the second stops at once."""
         self._parts.send("terminate")
         self._parts.peers.announce_leaving()
         self._terminate.set()
         self._terminate = trio.Event()
 
-    async def _live(self) -> None:
-        """Return when the router has finished what it took on, or was cut."""
+    async def _run_until_stopped(self) -> None:
+        """Wait for termination, then drain or abort the exchanges."""
         await self._terminate.wait()
         if self._parts.cycle.state == "draining":
-            await self._race(self._drain, self._terminate.wait)
+            await self._run_until_first(self._drain, self._terminate.wait)
         if self._parts.cycle.state != "stopped":
             self._parts.send("drained")
         elif len(self._parts.exchanges):
-            await self._cut()
+            await self._abort_exchanges()
 
     async def _drain(self) -> None:
-        """Finish everything: the balancer may go on sending until its list is new.
+        """Complete all requests, including those that the balancer still sends.
 
-        Readiness has turned already. A router that closed its port at once would
-        refuse the requests that the balancer sends until it has noticed.
+        The readiness check already fails, but the balancer notices with a delay. If the
+        router closed its port at once, the requests sent until then would be refused.
         """
         self._parts.exchanges.closing = True
         await trio.sleep(self._settings.data_path.balancer_lag_s)
         self._stop_listening.set()
         await self._parts.exchanges.wait_empty()
-        with trio.move_on_after(JOURNAL_DRAIN_S):
+        with trio.move_on_after(JOURNAL_DRAIN_TIMEOUT_S):
             await self._parts.journal.drain()
 
-    async def _cut(self) -> None:
-        """End all exchanges now and say which."""
-        cut = self._parts.exchanges.cut()
-        eliot.log_message(message_type="router:cut", request_ids=list(cut))
-        with trio.move_on_after(CUT_GRACE_S):
+    async def _abort_exchanges(self) -> None:
+        """Abort all exchanges and log their request ids."""
+        request_ids = self._parts.exchanges.cut()
+        eliot.log_message(message_type="router:cut", request_ids=list(request_ids))
+        with trio.move_on_after(ABORT_GRACE_S):
             await self._parts.exchanges.wait_empty()
 
     @staticmethod
-    async def _race(*steps: Callable[[], Awaitable[None]]) -> None:
-        """Return when the first of several steps is done."""
+    async def _run_until_first(*steps: Callable[[], Awaitable[None]]) -> None:
+        """Run several steps; cancel the others when the first completes."""
         async with trio.open_nursery() as nursery:
 
             async def run(step: Callable[[], Awaitable[None]]) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/pause_watch.py
+++ b/packages/corianderlb-router/src/corianderlb_router/pause_watch.py
@@ -1,7 +1,7 @@
-"""Notice that this process stood still, as one on a suspended machine does.
+"""Detects pauses of this process, such as suspension of its machine.
 
-On waking it reads what arrived meanwhile, however long ago, and its clock has gone on.
-What it reads then must not be dated by when it was read.
+After a pause the process reads data that arrived at any time during it, while its clock
+has advanced. The time of the read must not be taken as the time of arrival.
 """
 
 from __future__ import annotations
@@ -10,57 +10,56 @@
 
 import trio
 
-TICK_S: Final = 0.1
-"""Time between two looks at the clock."""
+CHECK_INTERVAL_S: Final = 0.1
+"""Interval between clock checks."""
 
-PAUSE_S: Final = 0.3
-"""Time between two looks from which the process counts as having stood still."""
+MIN_PAUSE_S: Final = 0.3
+"""Gap between clock checks from which the process counts as paused."""
 
 SETTLE_S: Final = 1.0
-"""How long after a pause what is read may have been waiting: the answers that came, and
-those to the calls that follow."""
+"""Time after a pause in which data that is read may have arrived during the pause."""
 
 
 class PauseWatch:
-    """Hold when this process last stood still; ``run`` looks at the clock."""
+    """Records the last pause of this process; ``run`` checks the clock."""
 
     def __init__(self) -> None:
-        self._ran_at: float | None = None
-        """When the process was last seen to run; None while nobody looks."""
+        self._checked_at: float | None = None
+        """Time of the last clock check; None until ``run`` starts."""
         self._paused_at = float("-inf")
-        self._woke_at = float("-inf")
+        self._resumed_at = float("-inf")
 
     async def run(self) -> None:
-        """Look at the clock until cancelled."""
-        self._ran_at = trio.current_time()
+        """Check the clock until cancelled."""
+        self._checked_at = trio.current_time()
         while True:
-            await trio.sleep(TICK_S)
-            self._look()
+            await trio.sleep(CHECK_INTERVAL_S)
+            self._check_clock()
 
     def arrived_after(self) -> float:
-        """Return the moment before which nothing that is read now had been waiting.
+        """Return the earliest time at which data that is read now can have arrived.
 
-        That is now, unless the process has just stood still.
+        That is now, unless the process has just resumed from a pause.
         """
         return self._paused_at if self.has_just_woken else trio.current_time()
 
     @property
     def has_just_woken(self) -> bool:
-        """Whether what is read now may have waited for this process."""
+        """Whether data that is read now may have arrived during a pause."""
         return self.has_woken_since(trio.current_time() - SETTLE_S)
 
     def has_woken_since(self, moment: float) -> bool:
-        """Return whether a pause of this process ended after a moment."""
-        # Of the tasks that go on after a pause the one that looks need not be first.
-        self._look()
-        return self._woke_at > moment
+        """Return whether a pause of this process ended after the given time."""
+        # After a pause the caller may run before the task that checks the clock.
+        self._check_clock()
+        return self._resumed_at > moment
 
-    def _look(self) -> None:
-        if self._ran_at is None:
+    def _check_clock(self) -> None:
+        if self._checked_at is None:
             return
         now = trio.current_time()
-        if now - self._ran_at >= PAUSE_S:
-            if self._ran_at - self._woke_at >= SETTLE_S:
-                self._paused_at = self._ran_at
-            self._woke_at = now
-        self._ran_at = now
+        if now - self._checked_at >= MIN_PAUSE_S:
+            if self._checked_at - self._resumed_at >= SETTLE_S:
+                self._paused_at = self._checked_at
+            self._resumed_at = now
+        self._checked_at = now
--- a/packages/corianderlb-router/tests/test_composition.py
+++ b/packages/corianderlb-router/tests/test_composition.py
@@ -1,4 +1,4 @@
-"""The parts of a router are connected as their pages say."""
+"""Tests of the connections between the components of a router."""
 
 from __future__ import annotations
 
@@ -73,8 +73,10 @@
         self.assertGreater(len(router.counters.status()), 20)
 
     async def test_queues_of_engines_count_against_deadlines(self) -> None:
-        """All engines have a minute of work queued and a review may wait for five
-        seconds. It was let in, held a place, and timed out in the engine's queue."""
+        """A request whose deadline is shorter than the engines' queues is refused.
+
+        Otherwise it would hold a slot and time out in the engine's queue.
+        """
         for queued_s, refused in ((60.0, True), (1.0, False)):
             router = self.a_router(queued_s)
             facts = some_facts(
