--- a/packages/corianderlb-router/tests/test_shown_names.py
+++ b/packages/corianderlb-router/tests/test_shown_names.py
@@ -20,7 +20,7 @@
 from corianderlb_router.forward_metric import ForwardMetrics
 from corianderlb_router.forward_node import ForwardNode, ForwardNodeSettings
 from corianderlb_router.forward_run import AttemptRecord
-from corianderlb_router.metric import Gauge, Metrics, Tally
+from corianderlb_router.metric import CounterGroup, Gauge, Metrics
 from corianderlb_router.node_metric import NodeCounters
 from corianderlb_router.store_caller import StoreCall
 from wire_names import CORE, CTL, ROUTER, field_paths, first_words, lines, log_lines
@@ -393,8 +393,8 @@
     metrics.events_relayed(2)
     for gauge in Gauge:
         metrics.watch_gauge(gauge, lambda: 1.0)
-    for tally in Tally:
-        metrics.watch_tally(tally, lambda: {"a": 1.0})
+    for counter_group in CounterGroup:
+        metrics.watch_counters(counter_group, lambda: {"a": 1.0})
     return metrics.exposition()
 
 
--- a/packages/corianderlb-router/tests/test_stored_names.py
+++ b/packages/corianderlb-router/tests/test_stored_names.py
@@ -27,7 +27,7 @@
 from corianderlb_router.forward_node import LEASE_NAME
 from corianderlb_router.lease_holder import LEASE_PREFIX
 from corianderlb_router.load_slot_store import SLOTS_KEY
-from corianderlb_router.router_roster import ROSTER_PREFIX
+from corianderlb_router.router_roster import REGISTRATION_PREFIX
 from corianderlb_router.store import InstanceList
 from wire_names import field_paths, lines
 
@@ -428,7 +428,7 @@
         self.assertEqual(chunk_key("a1", 2), "journal/answers/a1/2")
         self.assertEqual(LEASE_PREFIX + LEASE_NAME, "leases/orders/weights")
         self.assertEqual(SLOTS_KEY, "orders/loads")
-        self.assertEqual(ROSTER_PREFIX, "routers/")
+        self.assertEqual(REGISTRATION_PREFIX, "routers/")
 
 
 def _names(cls: Any) -> str:
--- a/packages/corianderlb-router/tests/test_wire_names.py
+++ b/packages/corianderlb-router/tests/test_wire_names.py
@@ -790,9 +790,9 @@
         """Proofs and keys of a link are made from the same words and fields."""
         peer = _handshake.PeerIdentity("r1", 3, "z1", "north")
         challenge = decode(bytes.fromhex(FRAMES["Challenge"][0]))
-        told = _handshake._transcript(challenge, peer, bytes(16))
-        told = _handshake._transcript_all(told, peer)
-        self.assertEqual(told.hex(), TRANSCRIPT)
+        transcript = _handshake._dialler_transcript(challenge, peer, bytes(16))
+        transcript = _handshake._full_transcript(transcript, peer)
+        self.assertEqual(transcript.hex(), TRANSCRIPT)
 
 
 class AnswerNameTest(unittest.TestCase):
@@ -903,7 +903,7 @@
         link.receive.return_value = bytes.fromhex(FRAMES["Hello"][0])
         with self.assertRaises(_handshake.FrameRefusedError) as caught:
             trio.run(_handshake._receive, link, message._TYPES["Challenge"])
-        self.assertEqual(str(caught.exception), "Hello, not Challenge")
+        self.assertEqual(str(caught.exception), "received Hello, expected Challenge")
 
 
 def _outcome(cls: type[UpstreamError]) -> str:
