--- a/packages/corianderlb-core/src/corianderlb_core/answer.py
+++ b/packages/corianderlb-core/src/corianderlb_core/answer.py
@@ -1,8 +1,8 @@
-"""Put the events of a checked stream together into one whole answer.
+"""Merge the events of a verified stream into one non-streaming answer.
 
-The router always asks an engine for a stream, also when the caller wants a whole
-answer: only a stream shows that the engine still works, and only a stream can be
-resumed. The deltas are merged here as the usual protocol defines them.
+The router always requests a stream from the engine, even if the caller did not: a
+stream shows that the engine is making progress, and it can be resumed. Deltas are
+merged as the chat and text completion protocol defines.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 from .stream import EVENT_END, TERMINAL
 
-_DATA: Final = b"\ndata: "
+_DATA_FIELD: Final = b"\ndata: "
 
-_ONCE: Final = frozenset({"id", "type", "role", "object", "model"})
-"""Fields that are sent whole, so that a later value replaces an earlier one."""
+_REPLACED_FIELDS: Final = frozenset({"id", "type", "role", "object", "model"})
+"""String fields in which a later value replaces an earlier one."""
 
-_WHOLE_OBJECT: Final = {
+_COMPLETE_OBJECTS: Final = {
     "chat.completion.chunk": "chat.completion",
     "text_completion.chunk": "text_completion",
 }
 
 
 def assemble_answer(stream: bytes) -> bytes:
-    """Return the whole answer, as JSON, that the events of a stream make up.
+    """Return the JSON answer assembled from the events of a stream.
 
-    The stream must have passed the ``StreamAssembler``.
+    The stream must have been verified by ``StreamAssembler``.
     """
     answer: dict[str, Any] = {}
     choices: dict[int, dict[str, Any]] = {}
     for event in stream.split(EVENT_END):
-        data = event.partition(_DATA)[2]
+        data = event.partition(_DATA_FIELD)[2]
         if not data or data == TERMINAL[: -len(EVENT_END)]:
             continue
         plain = msgspec.json.decode(data)
@@ -40,14 +40,16 @@
             merged = choices.setdefault(choice.get("index", 0), {})
             _merge(merged, choice)
         answer.update(plain)
-    answer["object"] = _WHOLE_OBJECT.get(answer.get("object", ""), "text_completion")
-    answer["choices"] = [_whole(choices[index]) for index in sorted(choices)]
+    answer["object"] = _COMPLETE_OBJECTS.get(
+        answer.get("object", ""), "text_completion"
+    )
+    answer["choices"] = [_complete_choice(choices[index]) for index in sorted(choices)]
     return msgspec.json.encode(answer)
 
 
 def usage_of(event: bytes) -> dict[str, Any]:
-    """Return the usage that the last event of a stream reports, or an empty map."""
-    data = event.partition(_DATA)[2]
+    """Return the usage from the last event of a stream, or an empty dict."""
+    data = event.partition(_DATA_FIELD)[2]
     try:
         usage = msgspec.json.decode(data).get("usage")
     except (msgspec.DecodeError, AttributeError):
@@ -55,7 +57,7 @@
     return usage if isinstance(usage, dict) else {}
 
 
-def _whole(choice: dict[str, Any]) -> dict[str, Any]:
+def _complete_choice(choice: dict[str, Any]) -> dict[str, Any]:
     if "delta" in choice:
         choice["message"] = {"role": "assistant", **choice.pop("delta")}
     return choice
@@ -70,14 +72,18 @@
             _merge(earlier, value)
         elif isinstance(value, list) and isinstance(earlier, list):
             _merge_list(earlier, value)
-        elif isinstance(value, str) and isinstance(earlier, str) and name not in _ONCE:
+        elif (
+            isinstance(value, str)
+            and isinstance(earlier, str)
+            and name not in _REPLACED_FIELDS
+        ):
             into[name] = earlier + value
         else:
             into[name] = value
 
 
 def _merge_list(into: list[Any], delta: list[Any]) -> None:
-    """Merge items that carry an index with their earlier parts; append the others."""
+    """Merge items into earlier ones with the same index; append all others."""
     for item in delta:
         index = item.get("index") if isinstance(item, dict) else None
         earlier = [
--- a/packages/corianderlb-core/src/corianderlb_core/stream.py
+++ b/packages/corianderlb-core/src/corianderlb_core/stream.py
@@ -1,11 +1,10 @@
-"""Check a stream of server-sent events and put it together over several attempts.
-
-An engine can crash, a connection can be cut and an answer can arrive on the wrong
-connection. What a caller receives is complete and in order all the same: each event
-must carry the next index and the id of the attempt, and only the terminal event ends
-a stream. The work per event is a few comparisons of bytes, since one node relays
-thousands of events a second; an event is parsed as JSON only when it is not written
-in the usual way.
+"""Verify a stream of server-sent events and assemble it from several attempts.
+
+Engines crash, connections break and answers can arrive on the wrong connection. To
+keep the caller's stream complete and in order, each event must carry the next index
+and the id of the attempt, and only the terminal event ends a stream. For throughput,
+events are checked by comparing bytes; an event is parsed as JSON only when it is not
+in the engines' usual format.
 """
 
 from __future__ import annotations
@@ -18,44 +17,44 @@
 import xxhash
 
 EVENT_END: Final = b"\n\n"
-"""What ends an event."""
+"""Separator after each event."""
 
 TERMINAL: Final = b"[DONE]\n\n"
 """The data of the terminal event."""
 
 MAX_EVENT_BYTES: Final = 1 << 20
-"""Longest event; more without an end is a fault, so that memory stays bounded."""
+"""Longest unfinished event to buffer; exceeding it is a fault. Bounds memory use."""
 
-_USAGE: Final = b',"usage"'
+_USAGE_FIELD: Final = b',"usage"'
 
-_CREATED: Final = re.compile(rb'"created":\s*\d+,?')
-"""When an engine made an event; it says nothing about the answer."""
+_CREATED_FIELD: Final = re.compile(rb'"created":\s*\d+,?')
+"""Timestamp of an event, which is not part of the answer."""
 
 
 class StreamFault(Enum):
-    """Name what is wrong with the events of an attempt."""
+    """Reason why the events of an attempt are invalid."""
 
     OUT_OF_ORDER = "an event was skipped or repeated"
-    CROSSED = "an event belongs to another attempt"
+    WRONG_ATTEMPT = "an event belongs to another attempt"
     MALFORMED = "an event has neither index nor data"
     DIVERGED = "the attempt repeats other text than was relayed before"
     TRAILING = "something follows the terminal event"
 
 
 class StreamAssembler:
-    """Turn the raw chunks of one request's attempts into one verified stream.
+    """Assembler of the raw chunks of one request's attempts into a verified stream.
 
-    ``begin_attempt`` starts each attempt; ``feed`` takes chunks as they arrive and
-    returns the verified events to relay, with the public id in place of the
-    attempt's. An attempt that starts at index 0 while events were relayed before is a
-    run elsewhere: its events are compared with what was relayed and dropped up to the
-    first that is missing. For example::
+    ``begin_attempt`` starts each attempt; ``feed`` accepts chunks as they arrive and
+    returns the verified events to relay, with the attempt's id replaced by the public
+    id. An attempt that starts at index 0 after events were relayed is a replay on
+    another engine: its events are compared with the relayed ones and dropped up to the
+    first new one. For example::
 
         assembler = StreamAssembler("req-1")
         assembler.begin_attempt("req-1.1", 0)
         out = assembler.feed(b'id: 0\\ndata: {"id":"req-1.1"}\\n\\n')
 
-    After the upstream closed, ``finished`` tells whether the terminal event came.
+    Once the upstream has closed, ``finished`` is true if the stream was complete.
     """
 
     __slots__ = (
@@ -63,9 +62,9 @@
         "_buffer",
         "_digest",
         "_index",
-        "_own",
-        "_public",
-        "_replay",
+        "_own_prefix",
+        "_public_prefix",
+        "_replay_digest",
         "fault",
         "finished",
         "last_event",
@@ -73,38 +72,38 @@
     )
 
     def __init__(self, public_id: str) -> None:
-        self._public = b'{"id":"%s"' % public_id.encode()
+        self._public_prefix = b'{"id":"%s"' % public_id.encode()
         self._digest = xxhash.xxh3_64()
-        self._replay: xxhash.xxh3_64 | None = None
+        self._replay_digest: xxhash.xxh3_64 | None = None
         self._buffer = b""
         self._attempt_id = ""
-        self._own = b""
+        self._own_prefix = b""
         self._index = 0
         self.n_relayed = 0
-        """Events handed on so far, which is the index of the next one."""
+        """Events relayed so far, which is the index of the next one."""
         self.finished = False
-        """True once the whole terminal event came."""
+        """Whether the complete terminal event was received."""
         self.fault: StreamFault | None = None
-        """What is wrong with this attempt; nothing of it is handed on after."""
+        """Fault of this attempt; no further events of the attempt are relayed."""
         self.last_event = b""
-        """The last event before the terminal one; it holds the usage."""
+        """The last event before the terminal one; it contains the usage."""
 
     def begin_attempt(self, attempt_id: str, first_index: int) -> None:
         """Expect the events of an attempt from ``first_index`` on."""
         self._attempt_id = attempt_id
-        self._own = b'{"id":"%s"' % attempt_id.encode()
+        self._own_prefix = b'{"id":"%s"' % attempt_id.encode()
         self._index = first_index
         self._buffer = b""
         self.fault = None
-        self._replay = xxhash.xxh3_64() if first_index < self.n_relayed else None
+        self._replay_digest = xxhash.xxh3_64() if first_index < self.n_relayed else None
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the verified new events in a chunk; look at ``fault`` after it."""
+        """Return the verified new events in a chunk; check ``fault`` afterwards."""
         if self._buffer:
             chunk = self._buffer + chunk
             self._buffer = b""
         if chunk.find(EVENT_END) == len(chunk) - len(EVENT_END) >= 0:
-            return self._take(chunk)
+            return self._verify(chunk)
         events = chunk.split(EVENT_END)
         self._buffer = events.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
@@ -112,9 +111,9 @@
             return b""
         if self.finished and self._buffer:
             self.fault = StreamFault.TRAILING
-        return b"".join([self._take(event + EVENT_END) for event in events])
+        return b"".join([self._verify(event + EVENT_END) for event in events])
 
-    def _take(self, event: bytes) -> bytes:
+    def _verify(self, event: bytes) -> bytes:
         if self.fault is not None:
             return b""
         if self.finished:
@@ -123,27 +122,27 @@
         index = self._index
         head = b"id: %d\ndata: " % index
         if not event.startswith(head):
-            self.fault = _explain(event)
+            self.fault = _classify_fault(event)
             return b""
         body = event[len(head) :]
         if body == TERMINAL:
-            return self._end(index, event)
-        if body.startswith(self._own):
-            rest = body[len(self._own) :]
+            return self._finish(index, event)
+        if body.startswith(self._own_prefix):
+            rest = body[len(self._own_prefix) :]
         else:
             rest = self._reencode(body)
             if not rest:
                 return b""
         self._index = index + 1
         if index < self.n_relayed:
-            self._compare(index, rest)
+            self._check_replay(index, rest)
             return b""
-        self._digest.update(_comparable(rest))
+        self._digest.update(_comparable_part(rest))
         self.n_relayed = index + 1
         self.last_event = event
-        return head + self._public + rest
+        return head + self._public_prefix + rest
 
-    def _end(self, index: int, event: bytes) -> bytes:
+    def _finish(self, index: int, event: bytes) -> bytes:
         if index < self.n_relayed:
             self.fault = StreamFault.DIVERGED
             return b""
@@ -152,11 +151,11 @@
         return event
 
     def _reencode(self, body: bytes) -> bytes:
-        """Return an event that is spaced or ordered another way, after its id.
+        """Return the part after the id of an event in another JSON layout.
 
-        Engines write tokens one way and the event with the usage another; the few
-        that differ are worth being parsed. Empty when the event is not this
-        attempt's.
+        Engines format the event with the usage differently from token events, so
+        spacing and field order vary. Sets ``fault`` and returns empty bytes when the
+        event is invalid or belongs to another attempt.
         """
         try:
             plain = msgspec.json.decode(body)
@@ -164,37 +163,37 @@
             self.fault = StreamFault.MALFORMED
             return b""
         if not isinstance(plain, dict) or plain.pop("id", None) != self._attempt_id:
-            self.fault = StreamFault.CROSSED
+            self.fault = StreamFault.WRONG_ATTEMPT
             return b""
         return b"," + msgspec.json.encode(plain)[1:] + EVENT_END
 
-    def _compare(self, index: int, rest: bytes) -> None:
-        """Compare a repeated event with what was relayed before.
+    def _check_replay(self, index: int, rest: bytes) -> None:
+        """Compare replayed events with those already relayed.
 
-        Two engines give the same text for the same prompt and weights. If one does
-        not, the caller would get two halves of different answers; the digests differ
-        then, and nothing of the second answer is handed on.
+        Engines are expected to generate the same text for the same prompt and weights.
+        When the digests differ, the attempt is rejected: the caller would otherwise
+        receive parts of two different answers.
         """
-        assert self._replay is not None
-        self._replay.update(_comparable(rest))
+        assert self._replay_digest is not None
+        self._replay_digest.update(_comparable_part(rest))
         if index + 1 < self.n_relayed:
             return
-        if self._replay.intdigest() != self._digest.intdigest():
+        if self._replay_digest.intdigest() != self._digest.intdigest():
             self.fault = StreamFault.DIVERGED
 
 
-def _comparable(rest: bytes) -> bytes:
-    """Return the part of an event that two engines must agree on.
+def _comparable_part(rest: bytes) -> bytes:
+    """Return the part of an event that must be equal on two engines.
 
-    Usage and the time of making differ between two runs of the same prompt. Were they
-    compared, no answer could go on elsewhere after a crash.
+    Usage and timestamps differ between runs of the same prompt. Comparing them would
+    make every continuation on another engine fail.
     """
-    text = rest.partition(_USAGE)[0]
-    return _CREATED.sub(b"", text) if b'"created"' in text else text
+    text = rest.partition(_USAGE_FIELD)[0]
+    return _CREATED_FIELD.sub(b"", text) if b'"created"' in text else text
 
 
-def _explain(event: bytes) -> StreamFault:
-    """Tell an event with another index from bytes that are no event."""
+def _classify_fault(event: bytes) -> StreamFault:
+    """Distinguish an event with the wrong index from malformed bytes."""
     if event.startswith(b"id: ") and b"\ndata: " in event:
         return StreamFault.OUT_OF_ORDER
     return StreamFault.MALFORMED
--- a/packages/corianderlb-core/tests/test_stream.py
+++ b/packages/corianderlb-core/tests/test_stream.py
@@ -15,13 +15,13 @@
     ).encode()
 
 
-def the_end(index: int) -> bytes:
+def terminal_event(index: int) -> bytes:
     return f"id: {index}\ndata: [DONE]\n\n".encode()
 
 
 def a_stream(n_events: int, attempt_id: str = "r.1") -> bytes:
     events = [an_event(index, attempt_id) for index in range(n_events)]
-    return b"".join([*events, the_end(n_events)])
+    return b"".join([*events, terminal_event(n_events)])
 
 
 def an_assembler(attempt_id: str = "r.1") -> StreamAssembler:
@@ -31,7 +31,7 @@
 
 
 class StreamAssemblerTest(unittest.TestCase):
-    def test_any_cut_into_chunks_gives_the_same_events(self) -> None:
+    def test_chunk_boundaries_do_not_change_the_events(self) -> None:
         stream = a_stream(4)
         for size in (1, 7, 64, len(stream)):
             assembler = an_assembler()
@@ -43,17 +43,15 @@
             self.assertTrue(assembler.finished)
             self.assertIsNone(assembler.fault)
 
-    def test_a_stream_without_its_very_last_byte_is_not_finished(self) -> None:
-        """The upstream closes one byte short of the terminal event's end. A caller
-        that got the rest would take an answer for whole that was never confirmed."""
+    def test_a_stream_without_its_last_byte_is_not_finished(self) -> None:
+        """The upstream closes within the terminal event: the answer is incomplete."""
         assembler = an_assembler()
         out = assembler.feed(a_stream(3)[:-1])
         self.assertFalse(assembler.finished)
         self.assertEqual(out, b"".join(an_event(n, "r") for n in range(3)))
 
     def test_a_skipped_or_repeated_event_ends_the_attempt(self) -> None:
-        """An engine under memory pressure drops or repeats a token. A caller would
-        read a sentence with a word missing or doubled, and nothing would say so."""
+        """An engine drops or repeats a token: the text must not be silently wrong."""
         for wrong in (2, 0):
             assembler = an_assembler()
             out = assembler.feed(an_event(0) + an_event(wrong) + an_event(1))
@@ -61,30 +59,28 @@
             self.assertIs(assembler.fault, StreamFault.OUT_OF_ORDER)
 
     def test_an_event_of_another_attempt_is_never_relayed(self) -> None:
-        """Two answers cross in an upstream's connection handling. One caller would
-        read the batch of another customer."""
+        """An upstream mixes up connections: no caller may receive another's answer."""
         assembler = an_assembler()
         out = assembler.feed(an_event(0) + an_event(1, "q.1"))
         self.assertEqual(out, an_event(0, "r"))
-        self.assertIs(assembler.fault, StreamFault.CROSSED)
+        self.assertIs(assembler.fault, StreamFault.WRONG_ATTEMPT)
 
-    def test_a_resume_goes_on_with_the_next_event(self) -> None:
+    def test_a_resume_continues_with_the_next_event(self) -> None:
         assembler = an_assembler()
         out = assembler.feed(an_event(0) + an_event(1)[:9])
         assembler.begin_attempt("r.1", 1)
-        out += assembler.feed(an_event(1) + the_end(2))
+        out += assembler.feed(an_event(1) + terminal_event(2))
         self.assertEqual(out, a_stream(2, "r"))
 
-    def test_a_run_elsewhere_continues_after_what_was_relayed(self) -> None:
+    def test_a_replay_on_another_engine_continues_after_relayed_events(self) -> None:
         assembler = an_assembler()
         out = assembler.feed(an_event(0) + an_event(1))
         assembler.begin_attempt("r.2", 0)
         out += assembler.feed(a_stream(4, "r.2"))
         self.assertEqual(out, a_stream(4, "r"))
 
-    def test_other_text_is_not_glued_to_what_was_relayed(self) -> None:
-        """The engine that takes over answers with other words, say from another
-        build. The caller would get the head of one answer and the tail of another."""
+    def test_diverging_text_is_not_appended_to_relayed_events(self) -> None:
+        """The second engine generates different text: the answers must not be mixed."""
         assembler = an_assembler()
         assembler.feed(an_event(0) + an_event(1))
         assembler.begin_attempt("r.2", 0)
@@ -92,9 +88,8 @@
         self.assertEqual(assembler.feed(other), b"")
         self.assertIs(assembler.fault, StreamFault.DIVERGED)
 
-    def test_engines_that_stamp_their_events_can_go_on_elsewhere(self) -> None:
-        """Engines write the time into each event. An answer that went on elsewhere
-        after a crash ended as broken, since the first events seemed to differ."""
+    def test_timestamps_do_not_prevent_a_replay(self) -> None:
+        """Timestamps in events must not prevent continuing on another engine."""
 
         def stamped(event: bytes, at: int) -> bytes:
             return event.replace(b'"choices"', b'"created":%d,"choices"' % at)
@@ -107,12 +102,12 @@
         self.assertTrue(assembler.finished)
         self.assertTrue(out.startswith(b"id: 2\n"))
 
-    def test_an_endless_event_is_a_fault(self) -> None:
+    def test_an_oversized_event_is_a_fault(self) -> None:
         assembler = an_assembler()
         assembler.feed(b"id: 0\ndata: " + b"x" * (1 << 21))
         self.assertIs(assembler.fault, StreamFault.MALFORMED)
 
-    def test_an_event_spaced_in_another_way_is_taken(self) -> None:
+    def test_an_event_in_another_json_layout_is_accepted(self) -> None:
         assembler = an_assembler()
         body = json.dumps({"id": "r.1", "usage": {"prompt_tokens": 3}})
         out = assembler.feed(f"id: 0\ndata: {body}\n\n".encode())
@@ -123,7 +118,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    def test_the_events_make_up_one_whole_answer(self) -> None:
+    def test_events_are_merged_into_one_answer(self) -> None:
         answer = json.loads(assemble_answer(a_stream(3, "r")))
         message = answer["choices"][0]["message"]
         self.assertEqual(message, {"role": "assistant", "content": "w0 w1 w2 "})
