--- a/packages/corianderlb-core/src/corianderlb_core/instance_load.py
+++ b/packages/corianderlb-core/src/corianderlb_core/instance_load.py
@@ -1,9 +1,8 @@
-"""What one router knows about the load of one upstream instance.
+"""A router's estimate of the load of one upstream instance.
 
-Reports come late, so the router adds what it sent since the report was made. Without
-that, every router would take the instance that looked idle a second ago for idle
-still, and all would send there at once; one would notice it as queues that swing from
-instance to instance.
+Load reports are delayed, so the router adds the requests that it sent since the report
+was created. Otherwise all routers would send to the instance that was idle in the last
+report (a thundering herd), and queues would oscillate between instances.
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 
 
 @dataclass(frozen=True)
-class _Dispatch:
+class _SentRequest:
     at: float
     work_s: float
 
 
 class InstanceLoad:
-    """Estimate the queue of one life of an upstream instance.
+    """Estimated queue of one incarnation of an upstream instance.
 
-    A new life gets a new object: nothing known about the old one is carried over.
+    Each incarnation has its own object, so that no state of an earlier one is reused.
     Times are seconds on the router's clock.
     """
 
@@ -49,71 +48,73 @@
         self.incarnation = incarnation
         self.zone = zone
         self.seed = rendezvous.seed(incarnation.instance)
-        """Stands for the instance in rendezvous hashing."""
+        """Hash seed of the instance for rendezvous hashing."""
         self.born_at = born_at
-        """When this life took an older one's place, with an empty cache; long ago
-        when it is the first that was heard of."""
+        """When this incarnation replaced an earlier one and started with an empty
+        cache; minus infinity for the first known incarnation."""
         self.report: LoadReport | None = None
-        """The newest report of this life."""
+        """The newest report of this incarnation."""
         self.reported_at = 0.0
-        """When that report was made."""
-        self._waiting: dict[RequestId, _Dispatch] = {}
+        """When that report was created."""
+        self._waiting: dict[RequestId, _SentRequest] = {}
         self._in_flight: dict[RequestId, float] = {}
         self._backlog_s = 0.0
         self._backlog_at = 0.0
 
     @property
     def n_in_flight(self) -> int:
-        """Requests that this router has running there."""
+        """Requests of this router in flight at the instance."""
         return len(self._in_flight)
 
     def wait_s(self, now: float) -> float:
-        """Return the estimated seconds of prefill in front of a new request."""
+        """Return the estimated seconds of prefill queued ahead of a new request."""
         return max(0.0, self._backlog_s - (now - self._backlog_at))
 
     def n_outstanding(self) -> int:
-        """Return the requests there: those reported and those sent since."""
+        """Return the number of reported requests plus those sent since the report."""
         if self.report is None:
             return len(self._in_flight)
-        since = sum(1 for at in self._in_flight.values() if at > self.reported_at)
-        return self.report.n_running + self.report.n_queued + since
+        n_sent_since = sum(
+            1 for at in self._in_flight.values() if at > self.reported_at
+        )
+        return self.report.n_running + self.report.n_queued + n_sent_since
 
     def take_report(self, report: LoadReport, made_at: float, now: float) -> bool:
-        """Take a report; return False for one of another life or an older one."""
+        """Apply a report; return False if stale or from another incarnation."""
         if report.epoch != self.incarnation.epoch:
             return False
         if self.report is not None and made_at < self.reported_at:
             return False
         self.report = report
         self.reported_at = made_at
-        self._replay(now)
+        self._recompute_backlog(now)
         return True
 
     def dispatched(self, request_id: RequestId, work_s: float, now: float) -> None:
-        """Count a request that was sent, with its estimated prefill."""
+        """Add a sent request and its estimated prefill time to the queue."""
         self._backlog_s = self.wait_s(now) + work_s
         self._backlog_at = now
-        self._waiting[request_id] = _Dispatch(now, work_s)
+        self._waiting[request_id] = _SentRequest(now, work_s)
         self._in_flight[request_id] = now
 
     def first_token(self, request_id: RequestId, now: float) -> float:
-        """Take a request out of the queue, since its prefill is done.
+        """Remove a request from the queue when its prefill has completed.
 
-        Return the seconds that it took beyond the estimated prefill.
+        Returns the seconds that it took in excess of the estimated prefill.
         """
         sent = self._waiting.pop(request_id, None)
         if sent is None:
             return 0.0
-        self._replay(now)
+        self._recompute_backlog(now)
         return max(0.0, now - sent.at - sent.work_s)
 
     def finished(self, request_id: RequestId, now: float) -> None:
-        """Forget a request that ended, whichever way."""
+        """Remove a request that ended, successfully or not."""
         self.first_token(request_id, now)
         self._in_flight.pop(request_id, None)
 
-    def _replay(self, now: float) -> None:
-        """Work the queue out anew from the report and what was sent after it."""
+    def _recompute_backlog(self, now: float) -> None:
+        """Recompute the queue from the report and the requests sent after it."""
         backlog, at = 0.0, self.reported_at
         if self.report is not None:
             backlog = self.report.queued_prefill_s
@@ -128,10 +129,10 @@
 
 @dataclass(frozen=True)
 class InstanceSet:
-    """Hold the usable instances of an upstream.
+    """The usable instances of an upstream.
 
-    A change of membership makes a new object with a higher ``generation``, so that
-    what was worked out for the old set is not used for the new one.
+    Each membership change creates a new object with a higher ``generation``, which
+    invalidates values cached for the old set.
     """
 
     upstream: str
@@ -143,6 +144,6 @@
     def of(
         cls, upstream: str, generation: int, instances: Sequence[InstanceLoad]
     ) -> InstanceSet:
-        """Return the set of the given instances."""
+        """Create a set from the given instances."""
         by_name = {load.incarnation.instance: load for load in instances}
         return cls(upstream, generation, tuple(instances), by_name)
--- a/packages/corianderlb-core/src/corianderlb_core/load.py
+++ b/packages/corianderlb-core/src/corianderlb_core/load.py
@@ -1,4 +1,4 @@
-"""What an upstream instance reports about itself, late and now and then."""
+"""Load reports of upstream instances, which are infrequent and delayed."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """Hold one load report of an upstream instance."""
+    """One load report of an upstream instance."""
 
     epoch: int
-    """The incarnation's epoch: a report of another life says nothing about this one."""
+    """Epoch of the incarnation; reports of other incarnations must be ignored."""
     n_running: int = 0
     n_queued: int = 0
     queued_prefill_s: float = 0.0
-    """Engine seconds of prefill that wait in its queue."""
+    """Engine seconds of prefill in its queue."""
     cached_pieces: int = 0
     cache_capacity_pieces: int = 0
     weights: dict[str, str] | None = None
-    """Weights version that is loaded, by model; None for a plain service."""
+    """Loaded weights version by model; None for a service without models."""
     adapters: dict[str, str] | None = None
-    """Adapter versions that are loaded, by adapter."""
+    """Loaded version by adapter."""
     leaving: bool = False
-    """True once the instance was told to go."""
+    """Whether the instance has been told to leave service."""
     fencing_token: int = 0
-    """Highest fencing token among the orders it took."""
+    """Highest fencing token among the orders it accepted."""
     loading: bool = False
-    """True while it loads weights or an adapter."""
+    """Whether it is loading weights or an adapter."""
--- a/packages/corianderlb-core/src/corianderlb_core/load_vector.py
+++ b/packages/corianderlb-core/src/corianderlb_core/load_vector.py
@@ -1,12 +1,13 @@
-"""Pack the load of many upstream instances into few bytes.
+"""Compact binary encoding of the load of many upstream instances.
 
-Both sides know the instances from the platform's list, so a vector names none of them:
-it holds one entry each in the order of their names, and a digest of the names that
-shows when the lists differ. Up to ``N_DETAILED`` instances an entry takes four bytes;
-beyond that one byte, with four levels of the wait.
+Sender and receiver both know the instances from the platform's list, so a vector
+contains no names: it has one entry per instance, ordered by name, and is sent with a
+digest of the names that detects differing lists. For up to ``MAX_DETAILED_INSTANCES``
+instances an entry is detailed (four bytes); beyond that it is short (one byte, with a
+coarse wait).
 
-Ages are rounded up and never down. What is passed on from router to router can so only
-get older, and dies out after a while, instead of being made new by each one.
+Ages are always rounded up, so that a report grows older each time it is forwarded and
+eventually expires. Rounding down would let forwarded reports stay fresh forever.
 """
 
 from __future__ import annotations
@@ -19,64 +20,64 @@
 
 import xxhash
 
-N_DETAILED: Final = 100
-"""Most instances for which the longer entries are sent."""
+MAX_DETAILED_INSTANCES: Final = 100
+"""Maximum number of instances in a vector of detailed entries."""
 
 AGE_STEP_S: Final = 0.1
-"""Step of the age in a longer entry."""
+"""Resolution of the age in a detailed entry."""
 
 MAX_AGE_S: Final = 20.0
-"""A report older than this says nothing."""
+"""Maximum age in a detailed entry; older reports are encoded as missing."""
 
 WAIT_LEVELS_S: Final = (0.0, 0.1, 0.5, 2.0)
-"""The wait that each level of a short entry stands for."""
+"""Wait represented by each level of a short entry."""
 
 AGE_LEVELS_S: Final = (2.0, 5.0, 10.0)
-"""The age that each level of a short entry stands for; a fourth one is too old."""
+"""Age represented by each level of a short entry; a fourth level means expired."""
 
 _DETAIL_BYTES: Final = 4
 _WAIT_BASE_S: Final = 0.001
 _WAIT_FACTOR: Final = 1.06
-_TOO_OLD: Final = 255
-_MAX_BYTE: Final = 254
+_NO_REPORT: Final = 255
+_MAX_VALUE: Final = 254
 
 
 @dataclass(frozen=True)
 class LoadSample:
-    """Hold what a vector says about one instance."""
+    """Load of one instance in a vector."""
 
     epoch_mark: int
-    """The last bits of the epoch, which tell one life from the next."""
+    """The low bits of the epoch, which distinguish successive incarnations."""
     wait_s: float
     n_outstanding: int
-    """Requests running or queued there; 0 in a short entry."""
+    """Requests running or queued at the instance; 0 in a short entry."""
     age_s: float
 
 
 def names_digest(names: Iterable[str]) -> int:
-    """Return a number that stands for the names, in their order."""
+    """Return a digest of the names in the given order."""
     return xxhash.xxh3_64_intdigest("\n".join(names).encode())
 
 
 def epoch_mark(epoch: int, detailed: bool) -> int:
-    """Return the bits of an epoch that an entry has room for."""
+    """Return the low bits of an epoch that fit into an entry."""
     return epoch & (0xFF if detailed else 0xF)
 
 
 def is_detailed(n_instances: int) -> bool:
-    """Tell which form a vector over so many instances has."""
-    return n_instances <= N_DETAILED
+    """Return whether a vector of this many instances has detailed entries."""
+    return n_instances <= MAX_DETAILED_INSTANCES
 
 
 def pack(samples: Sequence[LoadSample | None]) -> bytes:
-    """Return the bytes of a vector; None is an instance without a recent report."""
+    """Encode a vector; None stands for an instance without a recent report."""
     if is_detailed(len(samples)):
         return b"".join(_pack_detailed(sample) for sample in samples)
     return bytes(_pack_short(sample) for sample in samples)
 
 
 def unpack(packed: bytes, n_instances: int) -> list[LoadSample | None] | None:
-    """Return the samples, or None when the bytes do not fit the instances."""
+    """Decode a vector; return None if its length does not match the instances."""
     if not is_detailed(n_instances):
         if len(packed) != n_instances:
             return None
@@ -89,18 +90,18 @@
 
 def _pack_detailed(sample: LoadSample | None) -> bytes:
     if sample is None or sample.age_s > MAX_AGE_S:
-        return bytes([_TOO_OLD, 0, 0, 0])
+        return bytes([_NO_REPORT, 0, 0, 0])
     age = math.ceil(sample.age_s / AGE_STEP_S)
     wait = 0
     if sample.wait_s > _WAIT_BASE_S:
         wait = round(math.log(sample.wait_s / _WAIT_BASE_S, _WAIT_FACTOR)) + 1
-    n_outstanding = min(sample.n_outstanding, _MAX_BYTE)
-    return bytes([age, min(wait, _MAX_BYTE), n_outstanding, sample.epoch_mark & 0xFF])
+    n_outstanding = min(sample.n_outstanding, _MAX_VALUE)
+    return bytes([age, min(wait, _MAX_VALUE), n_outstanding, sample.epoch_mark & 0xFF])
 
 
 def _unpack_detailed(entry: bytes) -> LoadSample | None:
     age, wait, n_outstanding, mark = entry
-    if age == _TOO_OLD:
+    if age == _NO_REPORT:
         return None
     wait_s = _WAIT_BASE_S * _WAIT_FACTOR ** (wait - 1) if wait else 0.0
     return LoadSample(mark, wait_s, n_outstanding, age * AGE_STEP_S)
--- a/packages/corianderlb-core/src/corianderlb_core/overlay.py
+++ b/packages/corianderlb-core/src/corianderlb_core/overlay.py
@@ -1,10 +1,11 @@
-"""Choose which routers to keep a link to, so that few links join all of them.
-
-A full mesh of 410 routers would cost each of them 409 heartbeats a second. Here each
-router keeps half of its links itself and the others are kept towards it: the next
-router on a ring of its availability zone, the next on a ring of all, and some picked by
-hash from other zones. The rings join every router as long as members agree about who
-lives; the picks keep paths short, and link zones and regions many times over.
+"""Select peers for a sparse overlay network that connects all routers.
+
+In a full mesh, the heartbeats per router would grow with the number of routers. Here
+each router opens about half of its links and its peers open the rest: to the next
+router on a ring of its availability zone, the next on a ring of all routers, and some
+chosen by hash from other zones. The rings connect all routers as long as they agree on
+the live members; the other links keep paths short and zones and regions redundantly
+connected.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from .message import MemberState
 from .rendezvous import rank, weight
 
-_RING: bytes = b"ring"
+_RING_KEY: bytes = b"ring"
 
 
 def choose_links(
     own: MemberState, others: Iterable[MemberState], n_peers: int
 ) -> list[InstanceId]:
-    """Return the routers that this one keeps a link to, the most needed first.
+    """Return the routers to which this one opens links, most important first.
 
-    With no more than ``n_peers`` others that is all of them.
+    Returns all other routers if there are at most ``n_peers``.
     """
     others = sorted(others, key=lambda member: member.instance)
     if len(others) <= n_peers:
@@ -32,26 +33,26 @@
     elsewhere = [member for member in others if member.zone != own.zone]
     chosen: list[InstanceId] = []
     for group in (own_zone, others):
-        _add(chosen, _next_on_ring(own.instance, group))
-    n_wanted = max(len(chosen) + 1, n_peers // 2)
-    picks = rank(own.instance.encode(), [m.instance for m in elsewhere or others])
-    for name in picks:
-        if len(chosen) >= n_wanted:
+        _add_unique(chosen, _next_on_ring(own.instance, group))
+    n_links = max(len(chosen) + 1, n_peers // 2)
+    ranked = rank(own.instance.encode(), [m.instance for m in elsewhere or others])
+    for name in ranked:
+        if len(chosen) >= n_links:
             break
-        _add(chosen, InstanceId(name))
+        _add_unique(chosen, InstanceId(name))
     return chosen
 
 
 def _next_on_ring(own: InstanceId, members: Sequence[MemberState]) -> InstanceId | None:
-    """Return the member that follows this one in the order of hashes."""
+    """Return the member that follows this one in hash order, wrapping around."""
     if not members:
         return None
-    place = weight(_RING, own)
-    ring = sorted((weight(_RING, m.instance), m.instance) for m in members)
-    following = [name for at, name in ring if at > place]
+    own_hash = weight(_RING_KEY, own)
+    ring = sorted((weight(_RING_KEY, m.instance), m.instance) for m in members)
+    following = [name for hash_value, name in ring if hash_value > own_hash]
     return following[0] if following else ring[0][1]
 
 
-def _add(chosen: list[InstanceId], name: InstanceId | None) -> None:
+def _add_unique(chosen: list[InstanceId], name: InstanceId | None) -> None:
     if name is not None and name not in chosen:
         chosen.append(name)
