--- a/packages/corianderlb-core/src/corianderlb_core/chart.py
+++ b/packages/corianderlb-core/src/corianderlb_core/chart.py
@@ -1,8 +1,8 @@
-"""Interpret the state charts of life cycles, which are kept as files.
+"""State charts of life cycles, interpreted from YAML files.
 
-Each file in ``charts`` is a YAML chart for sismic. Code never stores a state beside
-the chart: it sends events and asks which state is active. Interpreting costs about
-0.1 ms an event, which suits life cycles and not tokens.
+Each file in ``charts`` is a statechart for sismic. Callers keep no copy of the state:
+they send events and query the active state. Interpreting an event is too slow for
+per-token work.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class LifeCycle:
-    """Run one instance of a chart.
+    """A running instance of a state chart.
 
-    For example ``LifeCycle("router").send("catalogue_ready")`` moves a starting router
-    on to serving, and ``state`` then names the state.
+    For example, ``LifeCycle("router").send("catalogue_ready")`` moves a starting router
+    to serving.
     """
 
     def __init__(self, chart_name: str) -> None:
@@ -36,8 +36,7 @@
     def send(self, event: str) -> bool:
         """Handle an event; return whether the state changed.
 
-        An event for which the active state has no transition is ignored, as the charts
-        list every transition that is meant to happen.
+        An event without a transition from the active state is ignored.
         """
         before = self.state
         self._interpreter.queue(event)
@@ -53,10 +52,10 @@
 
 @cache
 def transitions(chart_name: str) -> Mapping[tuple[str, str], str]:
-    """Return the target state by (state, event) of a chart without nested states.
+    """Return the target states of a chart without nested states by (state, event).
 
-    For records of which a process holds thousands: an interpreter each would cost too
-    much, and the chart stays the one place that lists the transitions.
+    Used for records that are too numerous for an interpreter each, with the chart
+    still the single definition of the transitions.
     """
     chart = _load(chart_name)
     found = {
--- a/packages/corianderlb-core/src/corianderlb_core/request.py
+++ b/packages/corianderlb-core/src/corianderlb_core/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decisions see it, and what they answer."""
+"""Data about a request that routing decisions use, and their results."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 
 @dataclass(frozen=True)
 class RequestFacts:
-    """Hold what routing, limits and retries need to know about a request."""
+    """Properties of a request that routing, limits and retries depend on."""
 
     request_id: RequestId
     account: AccountId
     service_class: ServiceClass
     target: str
-    """Model, adapter or route that the caller named."""
+    """Model, adapter or route requested by the caller."""
     upstream: str
-    """Upstream of the catalogue that has to answer it."""
+    """Catalogue name of the upstream that serves the target."""
     arrived_at: float
     """Seconds on the router's clock."""
     deadline: float
-    """Seconds on the router's clock; after it nobody waits for the answer."""
+    """Seconds on the router's clock; the caller does not wait longer."""
     repeatable: bool = True
     body_digest: bytes = b""
-    """Digest of account and body; one key for quarantine over all routers."""
+    """Digest of account and body; the quarantine key, equal on all routers."""
     prefix_keys: tuple[bytes, ...] = ()
-    """Keys of the nested prefixes, shortest first, one a piece."""
+    """Keys of the nested prefixes, shortest first, one per piece."""
     prompt_tokens: int = 0
-    """Estimate from the length of the prompt."""
+    """Token count estimated from the length of the prompt."""
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """Hold one upstream instance as a decision weighed it."""
+    """Evaluation of one upstream instance in a decision."""
 
     incarnation: Incarnation
     expected_hits: int
-    """Pieces of the prompt thought to be cached there."""
+    """Pieces of the prompt expected in its cache."""
     import_pieces: int
-    """Pieces it should import from the KV cache upstream first."""
+    """Pieces that it should first import from the KV cache upstream."""
     estimated_ttft_s: float
     """Estimated seconds to the first token."""
     reason: str
-    """Why it stands where it stands, for ``explain``."""
+    """Reason for its rank, shown by ``corianderctl explain``."""
     work_s: float = 0.0
-    """Estimated engine seconds of its own prefill, without the wait before it."""
+    """Estimated engine seconds to prefill this request, without queueing."""
 
 
 @dataclass(frozen=True)
 class Decision:
-    """Hold the outcome of placement."""
+    """Result of placement."""
 
     request_id: RequestId
     catalogue_version: int
@@ -63,18 +63,18 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """Tell a caller at once that its request is given up on."""
+    """Final refusal of a request, returned to the caller."""
 
     code: ResultCode
     detail: str
-    """One sentence with what to do."""
+    """One sentence that says what the caller should do."""
     retry_after_s: float = 0.0
-    """When to come back; 0 when coming back does not help."""
+    """Seconds until the caller may retry; 0 if a retry does not help."""
 
 
 @dataclass(frozen=True)
 class AttemptOutcome:
-    """Feed back how one attempt at an upstream instance went."""
+    """Outcome of one attempt at an upstream instance."""
 
     incarnation: Incarnation
     code: ResultCode
--- a/packages/corianderlb-core/src/corianderlb_core/result.py
+++ b/packages/corianderlb-core/src/corianderlb_core/result.py
@@ -1,7 +1,7 @@
-"""Numbered result codes: what happened to a request and what its caller can do.
+"""Numbered result codes: the outcome of a request and what its caller can do.
 
-The table in ``docs/RESULT-CODES.md`` is compared with this module by a test. Every
-answer of the router carries its code in the header ``Corianderlb-Result-Code``.
+A test compares this module with the table in ``docs/RESULT-CODES.md``. Every response
+of the router has its code in the header ``Corianderlb-Result-Code``.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @unique
 class ResultCode(IntEnum):
-    """Number every outcome; the hundreds group them by what the caller should do."""
+    """Result code of a request; the hundreds group codes by the action to take."""
 
     OK = 0
-    # 1xx: the request itself is wrong; repeating it unchanged cannot help.
+    # 1xx: the request is invalid; repeating it unchanged does not help.
     INVALID_REQUEST = 100
     BODY_NOT_JSON = 101
     BODY_TOO_LARGE = 102
@@ -30,7 +30,7 @@
     HEADERS_TOO_LARGE = 110
     NOT_FOUND = 111
     FORBIDDEN = 112
-    # 2xx: refused before it ran; the caller may come back after Retry-After.
+    # 2xx: refused before it ran; the caller may retry after Retry-After.
     RATE_LIMITED = 200
     TOO_MANY_CONCURRENT = 201
     DEADLINE_UNREACHABLE = 202
@@ -42,7 +42,7 @@
     QUARANTINED = 208
     UPSTREAM_REFUSED = 209
     STALE_CONFIGURATION = 210
-    # 3xx: it may have run.
+    # 3xx: the request may have run.
     OUTCOME_UNKNOWN = 300
     CALL_IN_PROGRESS = 301
     STREAM_BROKEN = 302
@@ -52,41 +52,41 @@
     DEADLINE_EXCEEDED = 306
     CUT_BY_SHUTDOWN = 307
     CALLER_GONE = 308
-    # 4xx: the catalogue and its operators.
+    # 4xx: catalogue edits and settings.
     CATALOGUE_INVALID = 400
     EDIT_CONFLICT = 401
     EDIT_OUTCOME_UNKNOWN = 402
     SETTINGS_INVALID = 403
-    # 5xx: between the processes of the system.
+    # 5xx: communication between routers and with the store.
     PEER_REJECTED = 500
     PEER_MESSAGE_INVALID = 501
     STORE_CONFLICT = 502
     LEASE_LOST = 503
-    # 9xx: a fault of ours.
+    # 9xx: internal error.
     INTERNAL = 900
 
 
 class Ran(Enum):
-    """Tell whether any upstream can have started the request."""
+    """Whether an upstream may have started the request."""
 
     NO = "no"
-    """No byte of it reached an upstream, or the upstream refused before running."""
+    """It did not reach an upstream, or the upstream refused it before running."""
     YES = "yes"
     """An upstream ran it."""
     UNKNOWN = "unknown"
-    """It may have run; only the upstream knows."""
+    """It may have run; the router cannot determine it."""
 
 
 @dataclass(frozen=True)
 class ResultInfo:
-    """Describe one result code for callers and for the table in the docs."""
+    """Description of one result code for callers and the documentation."""
 
     status: int
-    """The HTTP status that goes with the code."""
+    """HTTP status of a response with this code."""
     ran: Ran
-    """Whether the request can have run."""
+    """Whether the request may have run."""
     may_repeat: bool
-    """Whether sending the same request again, later, is safe and useful."""
+    """Whether repeating the same request later is safe and useful."""
     advice: str
     """What the caller should do, in one sentence."""
 
@@ -95,99 +95,114 @@
     return ResultInfo(status, ran, may_repeat, advice)
 
 
-_NO: Final = Ran.NO
-_UNKNOWN: Final = Ran.UNKNOWN
-_WAIT: Final = "Come back after Retry-After."
+_NOT_RUN: Final = Ran.NO
+_MAY_HAVE_RUN: Final = Ran.UNKNOWN
+_RETRY_LATER: Final = "Come back after Retry-After."
 
 RESULT_INFO: Final[dict[ResultCode, ResultInfo]] = {
     ResultCode.OK: _info(200, Ran.YES, True, "Nothing to do."),
-    ResultCode.INVALID_REQUEST: _info(400, _NO, False, "Correct the named field."),
-    ResultCode.BODY_NOT_JSON: _info(400, _NO, False, "Send a JSON object as body."),
-    ResultCode.BODY_TOO_LARGE: _info(413, _NO, False, "Send a smaller body."),
+    ResultCode.INVALID_REQUEST: _info(400, _NOT_RUN, False, "Correct the named field."),
+    ResultCode.BODY_NOT_JSON: _info(
+        400, _NOT_RUN, False, "Send a JSON object as body."
+    ),
+    ResultCode.BODY_TOO_LARGE: _info(413, _NOT_RUN, False, "Send a smaller body."),
     ResultCode.UNKNOWN_MODEL: _info(
-        404, _NO, False, "Name a model or adapter that /v1/models lists."
+        404, _NOT_RUN, False, "Name a model or adapter that /v1/models lists."
     ),
     ResultCode.UNKNOWN_ROUTE: _info(
-        404, _NO, False, "Name an application route of the catalogue."
+        404, _NOT_RUN, False, "Name an application route of the catalogue."
     ),
     ResultCode.BAD_CREDENTIALS: _info(
-        401, _NO, False, "Send the account key as a bearer token."
+        401, _NOT_RUN, False, "Send the account key as a bearer token."
     ),
     ResultCode.IDEMPOTENCY_KEY_MISSING: _info(
-        400, _NO, False, "Send an Idempotency-Key header; this route is not repeatable."
+        400,
+        _NOT_RUN,
+        False,
+        "Send an Idempotency-Key header; this route is not repeatable.",
     ),
     ResultCode.IDEMPOTENCY_KEY_REUSED: _info(
-        422, _NO, False, "Use a new key: this one belongs to another body."
+        422, _NOT_RUN, False, "Use a new key: this one belongs to another body."
     ),
     ResultCode.INVALID_DEADLINE: _info(
-        400, _NO, False, "Send the remaining time in milliseconds, above zero."
+        400, _NOT_RUN, False, "Send the remaining time in milliseconds, above zero."
     ),
     ResultCode.METHOD_NOT_ALLOWED: _info(
-        405, _NO, False, "Use a method that the route allows."
+        405, _NOT_RUN, False, "Use a method that the route allows."
+    ),
+    ResultCode.HEADERS_TOO_LARGE: _info(
+        431, _NOT_RUN, False, "Send fewer header bytes."
+    ),
+    ResultCode.NOT_FOUND: _info(404, _NOT_RUN, False, "Check the path."),
+    ResultCode.FORBIDDEN: _info(
+        403, _NOT_RUN, False, "Ask the entry's owner for access."
     ),
-    ResultCode.HEADERS_TOO_LARGE: _info(431, _NO, False, "Send fewer header bytes."),
-    ResultCode.NOT_FOUND: _info(404, _NO, False, "Check the path."),
-    ResultCode.FORBIDDEN: _info(403, _NO, False, "Ask the entry's owner for access."),
-    ResultCode.RATE_LIMITED: _info(429, _NO, True, _WAIT),
-    ResultCode.TOO_MANY_CONCURRENT: _info(429, _NO, True, _WAIT),
+    ResultCode.RATE_LIMITED: _info(429, _NOT_RUN, True, _RETRY_LATER),
+    ResultCode.TOO_MANY_CONCURRENT: _info(429, _NOT_RUN, True, _RETRY_LATER),
     ResultCode.DEADLINE_UNREACHABLE: _info(
-        503, _NO, True, "Come back after Retry-After, or allow more time."
+        503, _NOT_RUN, True, "Come back after Retry-After, or allow more time."
     ),
-    ResultCode.QUEUE_FULL: _info(503, _NO, True, _WAIT),
-    ResultCode.NO_UPSTREAM: _info(503, _NO, True, _WAIT),
-    ResultCode.STORE_UNAVAILABLE: _info(503, _NO, True, _WAIT),
-    ResultCode.NOT_READY: _info(503, _NO, True, "Try another instance."),
-    ResultCode.DRAINING: _info(503, _NO, True, "Try another instance."),
+    ResultCode.QUEUE_FULL: _info(503, _NOT_RUN, True, _RETRY_LATER),
+    ResultCode.NO_UPSTREAM: _info(503, _NOT_RUN, True, _RETRY_LATER),
+    ResultCode.STORE_UNAVAILABLE: _info(503, _NOT_RUN, True, _RETRY_LATER),
+    ResultCode.NOT_READY: _info(503, _NOT_RUN, True, "Try another instance."),
+    ResultCode.DRAINING: _info(503, _NOT_RUN, True, "Try another instance."),
     ResultCode.QUARANTINED: _info(
-        503, _NO, True, "Come back after Retry-After; this request crashed upstreams."
+        503,
+        _NOT_RUN,
+        True,
+        "Come back after Retry-After; this request crashed upstreams.",
     ),
-    ResultCode.UPSTREAM_REFUSED: _info(503, _NO, True, _WAIT),
-    ResultCode.STALE_CONFIGURATION: _info(503, _NO, True, "Try another instance."),
+    ResultCode.UPSTREAM_REFUSED: _info(503, _NOT_RUN, True, _RETRY_LATER),
+    ResultCode.STALE_CONFIGURATION: _info(503, _NOT_RUN, True, "Try another instance."),
     ResultCode.OUTCOME_UNKNOWN: _info(
-        502, _UNKNOWN, False, "Ask the service whether it ran; it is not sent again."
+        502,
+        _MAY_HAVE_RUN,
+        False,
+        "Ask the service whether it ran; it is not sent again.",
     ),
     ResultCode.CALL_IN_PROGRESS: _info(
-        409, _UNKNOWN, True, "Repeat with the same key after Retry-After."
+        409, _MAY_HAVE_RUN, True, "Repeat with the same key after Retry-After."
     ),
     ResultCode.STREAM_BROKEN: _info(
         502, Ran.YES, True, "Repeat the request; what came before is incomplete."
     ),
-    ResultCode.UPSTREAM_FAILED: _info(502, _UNKNOWN, True, "Repeat the request."),
-    ResultCode.UPSTREAM_TIMEOUT: _info(504, _UNKNOWN, True, "Repeat the request."),
-    ResultCode.RETRY_BUDGET_SPENT: _info(503, _UNKNOWN, True, _WAIT),
+    ResultCode.UPSTREAM_FAILED: _info(502, _MAY_HAVE_RUN, True, "Repeat the request."),
+    ResultCode.UPSTREAM_TIMEOUT: _info(504, _MAY_HAVE_RUN, True, "Repeat the request."),
+    ResultCode.RETRY_BUDGET_SPENT: _info(503, _MAY_HAVE_RUN, True, _RETRY_LATER),
     ResultCode.DEADLINE_EXCEEDED: _info(
-        504, _UNKNOWN, True, "Repeat with a longer deadline."
+        504, _MAY_HAVE_RUN, True, "Repeat with a longer deadline."
     ),
     ResultCode.CUT_BY_SHUTDOWN: _info(
-        503, _UNKNOWN, True, "Repeat the request on another instance."
+        503, _MAY_HAVE_RUN, True, "Repeat the request on another instance."
     ),
     ResultCode.CALLER_GONE: _info(
-        499, _UNKNOWN, True, "Seen in records alone: the caller left first."
+        499, _MAY_HAVE_RUN, True, "Seen in records alone: the caller left first."
     ),
     ResultCode.CATALOGUE_INVALID: _info(
-        422, _NO, False, "Correct the named entry and field."
+        422, _NOT_RUN, False, "Correct the named entry and field."
     ),
     ResultCode.EDIT_CONFLICT: _info(
-        409, _NO, False, "Read the newer change, then base the edit on it."
+        409, _NOT_RUN, False, "Read the newer change, then base the edit on it."
     ),
     ResultCode.EDIT_OUTCOME_UNKNOWN: _info(
-        502, _UNKNOWN, True, "Run the same edit again; its edit id settles it."
+        502, _MAY_HAVE_RUN, True, "Run the same edit again; its edit id settles it."
     ),
     ResultCode.SETTINGS_INVALID: _info(
-        400, _NO, False, "Correct the named line of the settings file."
+        400, _NOT_RUN, False, "Correct the named line of the settings file."
     ),
     ResultCode.PEER_REJECTED: _info(
-        403, _NO, False, "Check that both instances have the same peer key."
+        403, _NOT_RUN, False, "Check that both instances have the same peer key."
     ),
     ResultCode.PEER_MESSAGE_INVALID: _info(
-        400, _NO, False, "Check that both instances run compatible versions."
+        400, _NOT_RUN, False, "Check that both instances run compatible versions."
     ),
     ResultCode.STORE_CONFLICT: _info(
-        409, _NO, True, "Read the object again, then repeat the update."
+        409, _NOT_RUN, True, "Read the object again, then repeat the update."
     ),
-    ResultCode.LEASE_LOST: _info(409, _NO, True, "The next holder takes over."),
+    ResultCode.LEASE_LOST: _info(409, _NOT_RUN, True, "The next holder takes over."),
     ResultCode.INTERNAL: _info(
-        500, _UNKNOWN, False, "Report the request id to the operators."
+        500, _MAY_HAVE_RUN, False, "Report the request id to the operators."
     ),
 }
-"""What each code means for a caller; a test checks that no code is missing."""
+"""Description of each code; a test checks that no code is missing."""
--- a/packages/corianderlb-core/src/corianderlb_core/result_table.py
+++ b/packages/corianderlb-core/src/corianderlb_core/result_table.py
@@ -1,4 +1,4 @@
-"""Render the table of result codes for the docs and for ``corianderctl codes``."""
+"""Render the table of result codes for the docs and ``corianderctl codes``."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class ResultRow:
-    """Hold one line of the table of result codes."""
+    """One row of the table of result codes."""
 
     code: int
     name: str
@@ -20,12 +20,12 @@
 
 
 def result_rows() -> list[ResultRow]:
-    """Return a row a code, by number."""
+    """Return one row per code, ordered by number."""
     return [_row(code) for code in sorted(ResultCode)]
 
 
 def to_markdown(rows: list[ResultRow]) -> str:
-    """Return the rows as a Markdown table, as ``docs/RESULT-CODES.md`` holds it."""
+    """Format the rows as the Markdown table in ``docs/RESULT-CODES.md``."""
     lines = [
         "| code | name | HTTP status | ran? | may be repeated | what to do |",
         "|---|---|---|---|---|---|",
--- a/packages/corianderlb-core/src/corianderlb_core/status.py
+++ b/packages/corianderlb-core/src/corianderlb_core/status.py
@@ -1,7 +1,7 @@
-"""What a router tells operators about itself, over its admin paths, as JSON.
+"""Status and decision reports that a router serves as JSON on its admin paths.
 
-``corianderctl status`` and ``corianderctl explain`` read these types; a router of
-another version may lack fields, so each has a default.
+``corianderctl status`` and ``corianderctl explain`` read these types. Later fields have
+defaults, because a router of another version may not send them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class UpstreamStatus:
-    """Hold what one router knows about one upstream instance."""
+    """State of one upstream instance as seen by this router."""
 
     instance: str
     upstream: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class MemberStatus:
-    """Hold what one router knows about another."""
+    """State of another router as seen by this router."""
 
     instance: str
     zone: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class LeaseStatus:
-    """Hold one lease as the router last read it."""
+    """State of one lease as last read by this router."""
 
     name: str
     holder: str = ""
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class QuarantineStatus:
-    """Hold one request that is refused because it crashed upstream instances."""
+    """A request that is refused because it crashed upstream instances."""
 
     body_digest: str
     n_crashes: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class AccountStatus:
-    """Hold how much one client account uses of its limits at this router."""
+    """Usage of one client account at this router."""
 
     account: str
     n_running: int = 0
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class CounterStatus:
-    """Hold one named counter, such as calls to the store by kind."""
+    """One named counter, such as calls to the store by kind."""
 
     name: str
     value: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class RouterStatus:
-    """Answer ``GET /admin/status``."""
+    """Response to ``GET /admin/status``."""
 
     instance: str
     epoch: int
@@ -100,18 +100,18 @@
 
 @dataclass(frozen=True)
 class EntryReference:
-    """Name a catalogue entry that a decision rested on, for the audit."""
+    """Reference to a catalogue entry that a decision was based on, for audits."""
 
     entry: str
     """As ``kind/name``."""
     owner: str
     changed_in: int
-    """Version of the change that put it in force."""
+    """Version of the change that last modified the entry."""
 
 
 @dataclass(frozen=True)
 class CandidateReport:
-    """Hold one upstream instance as the decision weighed it."""
+    """Evaluation of one upstream instance in a decision."""
 
     instance: str
     epoch: int
@@ -123,13 +123,13 @@
 
 @dataclass(frozen=True)
 class AttemptReport:
-    """Hold one sending of the request to an upstream instance."""
+    """One attempt at an upstream instance."""
 
     attempt_id: str
     instance: str
     epoch: int
     code: int
-    """Number of the ``ResultCode`` that the attempt ended with."""
+    """``ResultCode`` of the attempt, as a number."""
     started_after_s: float = 0.0
     """Seconds after the request arrived."""
     lasted_s: float = 0.0
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True)
 class DecisionReport:
-    """Answer ``GET /admin/decisions/<decision id>``."""
+    """Response to ``GET /admin/decisions/<decision id>``."""
 
     decision_id: str
     request_id: str
@@ -147,9 +147,9 @@
     catalogue_version: int
     policy: str
     at: str
-    """When it was decided, ISO 8601 in UTC."""
+    """Time of the decision, ISO 8601 in UTC."""
     code: int = 0
-    """Number of the ``ResultCode`` that the caller got."""
+    """``ResultCode`` returned to the caller, as a number."""
     candidates: tuple[CandidateReport, ...] = ()
     """Best first."""
     attempts: tuple[AttemptReport, ...] = ()
--- a/packages/corianderlb-core/tests/test_result_table.py
+++ b/packages/corianderlb-core/tests/test_result_table.py
@@ -1,4 +1,4 @@
-"""The page of result codes shows what the code says."""
+"""Test that the documented result codes match the code."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     def test_page_is_current(self) -> None:
         self.assertIn(to_markdown(result_rows()), PAGE.read_text())
 
-    def test_a_code_that_says_not_run_is_no_5xx_gateway_error(self) -> None:
+    def test_gateway_errors_never_claim_not_run(self) -> None:
         for code in ResultCode:
             if RESULT_INFO[code].status in (502, 504):
                 self.assertIsNot(RESULT_INFO[code].ran, Ran.NO, code.name)
