--- a/packages/corianderlb-standins/src/corianderlb_standins/bench.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/bench.py
@@ -1,7 +1,7 @@
-"""Measure the placement policies beside each other: ``make bench``.
+"""Compare the placement policies (``make bench``).
 
-All policies run a scenario with a seed at the same time, each on a fleet and in a
-process of its own, so that what else the machine does falls on all of them alike.
+For each scenario and seed all policies run concurrently, each in its own process with
+its own fleet, so that other load on the machine affects all of them equally.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from corianderlb_core.catalogue import ServiceClass
 from corianderlb_core.codec import from_json
 
-from .bench_cell import HIGHEST_US, CellPlan, CellResult
+from .bench_cell import MAX_TTFT_US, CellPlan, CellResult
 from .bench_plot import write_plot
 from .process import child_environment
 from .workload import Scenario
 
 POLICIES: Final = ("default", "round_robin", "least_loaded", "hash_only")
-"""The default first, then the baselines."""
+"""The default policy, followed by the baselines."""
 
 QUANTILES: Final = (50.0, 95.0, 99.0)
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class BenchPlan:
-    """Say how much to measure."""
+    """Scenarios, policies, seeds and load of a benchmark."""
 
     out: Path
     seeds: tuple[int, ...] = (1, 2)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Hold a policy's figures in a scenario, over all seeds."""
+    """Results of one policy in one scenario, merged over all seeds."""
 
     scenario: str
     policy: str
@@ -60,11 +60,11 @@
     pieces_recomputed: int
     pieces_wasted: int
     ttft_ms: dict[str, tuple[float, ...]]
-    """Milliseconds at each of ``QUANTILES``, by class."""
+    """Milliseconds at each of ``QUANTILES``, by service class."""
 
 
 async def run_bench(plan: BenchPlan) -> int:
-    """Measure all cells and write table, JSON and plot; return the exit code."""
+    """Run all cells and write the table, JSON and plot; return the exit code."""
     plan.out.mkdir(parents=True, exist_ok=True)
     results: list[CellResult] = []
     for seed in plan.seeds:
@@ -82,17 +82,17 @@
 
 
 def merge_results(results: list[CellResult], plan: BenchPlan) -> list[Row]:
-    """Return a row for each scenario and policy."""
+    """Return one row for each scenario and policy that has results."""
     return [
-        _row(scenario, policy, found)
+        _row(scenario, policy, matching)
         for scenario in plan.scenarios
         for policy in plan.policies
-        if (found := _matching(results, scenario, policy))
+        if (matching := _select_results(results, scenario, policy))
     ]
 
 
 def render_table(rows: list[Row]) -> str:
-    """Return the rows as a table in Markdown."""
+    """Return the rows as a Markdown table."""
     classes = [cls.value for cls in ServiceClass]
     head = ["scenario", "policy", "requests", "failed", "hit rate", "recomputed"]
     head += ["wasted", *(f"{name} p50/p95/p99 ms" for name in classes)]
@@ -117,11 +117,13 @@
 async def _run_cell(cell: CellPlan, results: list[CellResult]) -> None:
     command = [sys.executable, "-m", "corianderlb_standins", "bench-cell"]
     command.append(json.dumps(dataclasses.asdict(cell)))
-    done = await trio.run_process(command, capture_stdout=True, env=child_environment())
-    results.append(from_json(CellResult, done.stdout))
+    completed = await trio.run_process(
+        command, capture_stdout=True, env=child_environment()
+    )
+    results.append(from_json(CellResult, completed.stdout))
 
 
-def _matching(
+def _select_results(
     results: list[CellResult], scenario: str, policy: str
 ) -> list[CellResult]:
     return [
@@ -131,24 +133,24 @@
     ]
 
 
-def _row(scenario: str, policy: str, found: list[CellResult]) -> Row:
-    n_asked = sum(item.pieces_asked for item in found)
-    n_hit = sum(item.pieces_hit for item in found)
+def _row(scenario: str, policy: str, matching: list[CellResult]) -> Row:
+    n_requested = sum(item.pieces_asked for item in matching)
+    n_hit = sum(item.pieces_hit for item in matching)
     return Row(
         scenario=scenario,
         policy=policy,
-        n_requests=sum(item.n_requests for item in found),
-        n_failed=sum(item.n_failed for item in found),
-        hit_rate=n_hit / max(1, n_asked),
-        pieces_recomputed=sum(item.pieces_recomputed for item in found),
-        pieces_wasted=sum(item.pieces_wasted for item in found),
-        ttft_ms={cls.value: _quantiles(found, cls.value) for cls in ServiceClass},
+        n_requests=sum(item.n_requests for item in matching),
+        n_failed=sum(item.n_failed for item in matching),
+        hit_rate=n_hit / max(1, n_requested),
+        pieces_recomputed=sum(item.pieces_recomputed for item in matching),
+        pieces_wasted=sum(item.pieces_wasted for item in matching),
+        ttft_ms={cls.value: _quantiles(matching, cls.value) for cls in ServiceClass},
     )
 
 
-def _quantiles(found: list[CellResult], name: str) -> tuple[float, ...]:
-    merged = HdrHistogram(1, HIGHEST_US, 3)
-    for item in found:
+def _quantiles(matching: list[CellResult], name: str) -> tuple[float, ...]:
+    merged = HdrHistogram(1, MAX_TTFT_US, 3)
+    for item in matching:
         merged.decode_and_add(item.ttft[name].encode())
     return tuple(merged.get_value_at_percentile(q) / 1000 for q in QUANTILES)
 
--- a/packages/corianderlb-standins/src/corianderlb_standins/bench_cell.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/bench_cell.py
@@ -1,4 +1,4 @@
-"""Measure one policy in one scenario with one seed, on a fleet of its own."""
+"""Run one cell of the benchmark: a policy, a scenario and a seed on its own fleet."""
 
 from __future__ import annotations
 
@@ -19,44 +19,45 @@
 from .workload import PIECE_CHARS, Arrival, Scenario, draw_arrivals
 
 PREFILL_S: Final = 0.05
-"""Engine seconds for a missing piece."""
+"""Prefill time of one uncached piece."""
 
 CACHE_PIECES: Final = 128
-"""Pieces that an engine's cache holds."""
+"""Capacity of each engine's cache."""
 
 REPORT_LAG_S: Final = 0.25
-"""Age of load reports, but for the scenario in which they are late."""
+"""Age of load reports in all scenarios except ``LATE_REPORTS``."""
 
 LATE_REPORT_LAG_S: Final = 2.0
+"""Age of load reports in ``LATE_REPORTS``."""
 
-BACK_AFTER_S: Final = 4.0
-"""Seconds after which a killed engine is back, empty."""
+RESTART_DELAY_S: Final = 4.0
+"""Time from an engine's kill to its restart with an empty cache."""
 
-SETTLE_S: Final = 20.0
-"""Longest wait for answers after the last arrival."""
+ANSWER_TIMEOUT_S: Final = 20.0
+"""Maximum wait for answers after the last arrival."""
 
-HIGHEST_US: Final = 120_000_000
-"""Longest time that is told apart from longer ones."""
+MAX_TTFT_US: Final = 120_000_000
+"""Upper bound of the histograms; longer times are recorded as this value."""
 
 
 @dataclass(frozen=True)
 class CellPlan:
-    """Say what to measure."""
+    """Parameters of one cell."""
 
     policy: str
     scenario: str
     seed: int
     seconds: float = 28.0
     warm_s: float = 8.0
-    """Requests that arrive before this fill the caches and are not measured."""
+    """Requests due before this time warm the caches and are not measured."""
     rate: float = 32.0
-    """Requests a second."""
+    """Requests per second."""
     n_routers: int = 4
 
 
 @dataclass
 class CellResult:
-    """Hold what one cell showed; histograms are encoded, to merge seeds."""
+    """Results of one cell, with encoded histograms that can be merged over seeds."""
 
     plan: CellPlan
     n_requests: int = 0
@@ -66,31 +67,31 @@
     pieces_hit: int = 0
     pieces_recomputed: int = 0
     pieces_wasted: int = 0
-    """Recomputed although some engine had computed them before."""
+    """Pieces recomputed although an engine had computed them before."""
     ttft: dict[str, str] = field(default_factory=dict)
-    """Histogram of microseconds to the first token, by class."""
+    """Encoded histogram of TTFT in microseconds, by service class."""
 
 
 class Cell:
-    """Drive a fleet with the workload and count what its callers got."""
+    """Send the workload to a fleet and record the answers."""
 
     def __init__(self, plan: CellPlan) -> None:
         self._plan = plan
         self._scenario = Scenario(plan.scenario)
-        self._seen: set[tuple[str, int]] = set()
+        self._requested_pieces: set[tuple[str, int]] = set()
         self._failures: Counter[str] = Counter()
         self._histograms = {
-            cls.value: HdrHistogram(1, HIGHEST_US, 3) for cls in ServiceClass
+            cls.value: HdrHistogram(1, MAX_TTFT_US, 3) for cls in ServiceClass
         }
         self.result = CellResult(plan)
 
     async def run(self) -> CellResult:
-        """Return what was measured."""
+        """Run the cell and return its results."""
         plan = self._plan
-        limit_s = plan.seconds + SETTLE_S + 60.0
+        limit_s = plan.seconds + ANSWER_TIMEOUT_S + 60.0
         async with running_fleet(self._fleet_plan(), limit_s) as fleet:
             clients = [LoadClient(router.address, 60.0) for router in fleet.routers]
-            await self._drive(fleet, clients)
+            await self._send_workload(fleet, clients)
             for client in clients:
                 await client.close()
         self.result.failures = dict(self._failures)
@@ -101,8 +102,8 @@
         return self.result
 
     def _fleet_plan(self) -> FleetPlan:
-        late = self._scenario is Scenario.LATE_REPORTS
-        lag_s = LATE_REPORT_LAG_S if late else REPORT_LAG_S
+        is_late = self._scenario is Scenario.LATE_REPORTS
+        lag_s = LATE_REPORT_LAG_S if is_late else REPORT_LAG_S
         arguments = {
             "--prefill-s": PREFILL_S,
             "--token-s": 0.01,
@@ -113,19 +114,19 @@
             n_services=0,
             n_routers=self._plan.n_routers,
             engine_arguments=tuple(
-                str(word) for pair in arguments.items() for word in pair
+                str(item) for pair in arguments.items() for item in pair
             ),
             router_settings={"placement": {"policy": self._plan.policy}},
             entries=default_entries(prefill_s_per_piece=PREFILL_S),
         )
 
-    async def _drive(self, fleet: Fleet, clients: list[LoadClient]) -> None:
+    async def _send_workload(self, fleet: Fleet, clients: list[LoadClient]) -> None:
         plan = self._plan
         arrivals = draw_arrivals(
             self._scenario, plan.seed, plan.rate, plan.seconds, plan.n_routers
         )
         started = trio.current_time()
-        with trio.move_on_after(plan.seconds + SETTLE_S):
+        with trio.move_on_after(plan.seconds + ANSWER_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 if self._scenario is Scenario.ENGINE_KILLED:
                     nursery.start_soon(self._kill_engine, fleet, plan.seconds / 2)
@@ -133,44 +134,48 @@
                     await trio.sleep_until(started + arrival.at)
                     client = clients[arrival.router]
                     nursery.start_soon(self._send, client, arrival, started)
-        n_due = sum(arrival.at >= plan.warm_s for arrival in arrivals)
-        self._count_unfinished(n_due)
-
-    def _count_unfinished(self, n_due: int) -> None:
-        """Count requests without an answer at the end as failed, not as absent."""
-        n_left = n_due - self.result.n_requests
-        if n_left:
-            self._failures["unfinished"] += n_left
-            self.result.n_requests += n_left
-            self.result.n_failed += n_left
-
-    async def _kill_engine(self, fleet: Fleet, after_s: float) -> None:
-        await trio.sleep(after_s)
+        n_expected = sum(arrival.at >= plan.warm_s for arrival in arrivals)
+        self._count_unfinished(n_expected)
+
+    def _count_unfinished(self, n_expected: int) -> None:
+        """Count requests without an answer as failed."""
+        n_unfinished = n_expected - self.result.n_requests
+        if n_unfinished:
+            self._failures["unfinished"] += n_unfinished
+            self.result.n_requests += n_unfinished
+            self.result.n_failed += n_unfinished
+
+    async def _kill_engine(self, fleet: Fleet, delay_s: float) -> None:
+        await trio.sleep(delay_s)
         await fleet.engines[0].kill()
-        await trio.sleep(BACK_AFTER_S)
+        await trio.sleep(RESTART_DELAY_S)
         await fleet.restart(fleet.engines[0].name)
 
     async def _send(self, client: LoadClient, arrival: Arrival, started: float) -> None:
-        # The time to the first token counts from when the request was due, so that a
-        # slow sender cannot hide a slow answer.
-        late_s = trio.current_time() - (started + arrival.at)
+        # TTFT counts from the time the request was due, so that a delay in sending
+        # does not hide a slow answer.
+        send_delay_s = trio.current_time() - (started + arrival.at)
         headers = {header.SERVICE_CLASS: arrival.service_class.value}
         answer = await client.stream(
             arrival.prompt, arrival.n_tokens, arrival.account, headers=headers
         )
-        n_new = self._count_new(arrival)
+        n_new_pieces = self._count_new_pieces(arrival)
         if arrival.at >= self._plan.warm_s:
-            self._record(arrival, answer, late_s, n_new)
+            self._record(arrival, answer, send_delay_s, n_new_pieces)
 
-    def _count_new(self, arrival: Arrival) -> int:
-        """Return how many pieces nobody asked for before."""
+    def _count_new_pieces(self, arrival: Arrival) -> int:
+        """Return the number of pieces that no earlier request had."""
         names = set(arrival.piece_names)
-        n_new = len(names - self._seen)
-        self._seen |= names
-        return n_new
+        n_new_pieces = len(names - self._requested_pieces)
+        self._requested_pieces |= names
+        return n_new_pieces
 
     def _record(
-        self, arrival: Arrival, answer: StreamAnswer, late_s: float, n_new: int
+        self,
+        arrival: Arrival,
+        answer: StreamAnswer,
+        send_delay_s: float,
+        n_new_pieces: int,
     ) -> None:
         result = self.result
         result.n_requests += 1
@@ -178,12 +183,12 @@
             result.n_failed += 1
             self._failures[str(answer.error.get("name", answer.error))] += 1
             return
-        n_asked = len(arrival.piece_names)
+        n_requested = len(arrival.piece_names)
         n_hit = answer.cached_tokens * CHARS_PER_TOKEN // PIECE_CHARS
-        result.pieces_asked += n_asked
+        result.pieces_asked += n_requested
         result.pieces_hit += n_hit
-        result.pieces_recomputed += n_asked - n_hit
-        result.pieces_wasted += max(0, n_asked - n_hit - n_new)
-        ttft_us = int((answer.first_token_s + late_s) * 1e6)
+        result.pieces_recomputed += n_requested - n_hit
+        result.pieces_wasted += max(0, n_requested - n_hit - n_new_pieces)
+        ttft_us = int((answer.first_token_s + send_delay_s) * 1e6)
         histogram = self._histograms[arrival.service_class.value]
-        histogram.record_value(min(ttft_us, HIGHEST_US))
+        histogram.record_value(min(ttft_us, MAX_TTFT_US))
--- a/packages/corianderlb-standins/src/corianderlb_standins/workload.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/workload.py
@@ -1,7 +1,7 @@
-"""The measured workload: prompts nested in customer, site and batch, by eight accounts.
+"""Workload of the benchmark: prompts with customer, site and batch parts.
 
-It is drawn from a seed alone, so that each policy gets the very same requests at the
-same moments.
+It is determined by the seed, so that each policy receives the same requests at the
+same times.
 """
 
 from __future__ import annotations
@@ -18,60 +18,62 @@
 ACCOUNTS: Final = (*LARGE_ACCOUNTS, *SMALL_ACCOUNTS)
 """All client accounts, the large ones first."""
 
-TRAFFIC: Final = (6, 4, 1, 1, 1, 1, 1, 1)
-"""Share of each account in the requests."""
+TRAFFIC_SHARES: Final = (6, 4, 1, 1, 1, 1, 1, 1)
+"""Relative request rate of each account."""
 
 N_SITES: Final = (12, 8, 3, 3, 3, 3, 3, 3)
-"""Sites of each account; the n-th is asked for 1/n as often as the first."""
+"""Sites of each account; the n-th receives 1/n of the first site's requests."""
 
-LEVEL_PIECES: Final = (3, 3, 2)
-"""Pieces of the customer's, the site's and the batch's part of a prompt."""
+PIECES_PER_PART: Final = (3, 3, 2)
+"""Pieces in the customer, site and batch parts of a prompt."""
 
-BATCH_S: Final = 5.0
-"""A site begins a batch this often; the newest ``N_BATCHES`` are asked for."""
+BATCH_INTERVAL_S: Final = 5.0
+"""Interval between new batches of a site."""
 
 N_BATCHES: Final = 4
+"""Number of newest batches that requests choose from."""
 
-CLASS_SHARE: Final = {
+CLASS_SHARES: Final = {
     ServiceClass.URGENT: 4,
     ServiceClass.STANDARD: 4,
     ServiceClass.DEFERRABLE: 2,
 }
-"""Share of each class in the requests."""
+"""Relative request rate of each service class."""
 
 CLASS_TOKENS: Final = {
     ServiceClass.URGENT: 4,
     ServiceClass.STANDARD: 8,
     ServiceClass.DEFERRABLE: 16,
 }
-"""Tokens of an answer, by class."""
+"""Tokens per answer, by service class."""
 
-HOT_ACCOUNT: Final = 7
-"""The small account whose last site takes half of the traffic in a hot shift."""
+HOT_ACCOUNT_INDEX: Final = 7
+"""Index of the account whose last site becomes hot in ``HOT_SHIFT``."""
 
 HOT_SHARE: Final = 0.5
+"""Fraction of requests that the hot site receives."""
 
 PIECE_CHARS: Final = 4000
 
 
 class Scenario(Enum):
-    """Name what happens while a policy is measured."""
+    """Event during a benchmark run."""
 
     STEADY = "steady"
     HOT_SHIFT = "hot_shift"
-    """From the middle on, one site of a small account takes half of the traffic."""
+    """One site of a small account receives half of the traffic in the second half."""
     ENGINE_KILLED = "engine_killed"
-    """In the middle an engine is killed; it comes back empty some seconds later."""
+    """An engine is killed halfway and restarts with an empty cache."""
     LATE_REPORTS = "late_reports"
-    """Load reports are 2 s old."""
+    """Load reports arrive with a delay of 2 s."""
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Hold one request of the workload."""
+    """One request of the workload."""
 
     at: float
-    """Seconds after the start."""
+    """Seconds since the start."""
     router: int
     account: str
     site: int
@@ -85,18 +87,18 @@
 
     @property
     def piece_names(self) -> tuple[tuple[str, int], ...]:
-        """Name each piece of the prompt, over all accounts."""
+        """Names of the prompt's pieces, unique over all accounts."""
         customer, site = self.account, f"{self.account}/{self.site}"
         names = (customer, site, f"{site}/{self.batch}")
         return tuple(
             (name, index)
-            for name, n in zip(names, LEVEL_PIECES, strict=True)
-            for index in range(n)
+            for name, n_pieces in zip(names, PIECES_PER_PART, strict=True)
+            for index in range(n_pieces)
         )
 
     @property
     def prompt(self) -> str:
-        """Return the text; whole pieces once a chat's role stands before it."""
+        """Text of the prompt; fills whole pieces once a chat role is prepended."""
         pieces = [
             f"{name} log {index}: ".ljust(PIECE_CHARS, ".")
             for name, index in self.piece_names
@@ -107,34 +109,34 @@
 def draw_arrivals(
     scenario: Scenario, seed: int, rate: float, seconds: float, n_routers: int
 ) -> list[Arrival]:
-    """Return the requests of one run, in order of time.
+    """Return the requests of one run, ordered by time.
 
-    Arrivals are a Poisson process of ``rate`` a second that does not wait for answers.
+    Arrivals are a Poisson process of ``rate`` requests per second (open loop).
     """
     rng = random.Random(f"{scenario.value}-{seed}")
     arrivals = []
     at = rng.expovariate(rate)
     while at < seconds:
-        arrivals.append(_draw(scenario, rng, at, seconds, n_routers))
+        arrivals.append(_draw_arrival(scenario, rng, at, seconds, n_routers))
         at += rng.expovariate(rate)
     return arrivals
 
 
-def _draw(
+def _draw_arrival(
     scenario: Scenario, rng: random.Random, at: float, seconds: float, n_routers: int
 ) -> Arrival:
-    index = rng.choices(range(len(ACCOUNTS)), TRAFFIC)[0]
+    index = rng.choices(range(len(ACCOUNTS)), TRAFFIC_SHARES)[0]
     n_sites = N_SITES[index]
     site = rng.choices(range(n_sites), [1 / (i + 1) for i in range(n_sites)])[0]
     is_hot = rng.random() < HOT_SHARE
     if scenario is Scenario.HOT_SHIFT and at >= seconds / 2 and is_hot:
-        index, site = HOT_ACCOUNT, N_SITES[HOT_ACCOUNT] - 1
-    classes = list(CLASS_SHARE)
+        index, site = HOT_ACCOUNT_INDEX, N_SITES[HOT_ACCOUNT_INDEX] - 1
+    classes = list(CLASS_SHARES)
     return Arrival(
         at=at,
         router=rng.randrange(n_routers),
         account=ACCOUNTS[index],
         site=site,
-        batch=int(at / BATCH_S) - rng.randrange(N_BATCHES),
-        service_class=rng.choices(classes, list(CLASS_SHARE.values()))[0],
+        batch=int(at / BATCH_INTERVAL_S) - rng.randrange(N_BATCHES),
+        service_class=rng.choices(classes, list(CLASS_SHARES.values()))[0],
     )
--- a/packages/corianderlb-standins/tests/test_bench_workload.py
+++ b/packages/corianderlb-standins/tests/test_bench_workload.py
@@ -1,4 +1,4 @@
-"""Test that the measured workload is the same for each policy, and adds up."""
+"""Tests of the benchmark's workload and of merged results."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from hdrh.histogram import HdrHistogram
 
 from corianderlb_standins.bench import BenchPlan, merge_results, render_table
-from corianderlb_standins.bench_cell import HIGHEST_US, CellPlan, CellResult
+from corianderlb_standins.bench_cell import MAX_TTFT_US, CellPlan, CellResult
 from corianderlb_standins.fleet_plan import SMALL_ACCOUNTS
 from corianderlb_standins.workload import Scenario, draw_arrivals
 
 
 def a_result(seed: int, ttft_us: int, n_hit: int) -> CellResult:
-    """Return what a cell of one request measured."""
-    histogram = HdrHistogram(1, HIGHEST_US, 3)
+    """Return the results of a cell with one request."""
+    histogram = HdrHistogram(1, MAX_TTFT_US, 3)
     histogram.record_value(ttft_us)
     encoded = histogram.encode().decode()
     return CellResult(
@@ -28,7 +28,7 @@
 
 
 class BenchWorkloadTest(unittest.TestCase):
-    def test_seed_alone_decides_the_requests(self) -> None:
+    def test_same_seed_gives_same_requests(self) -> None:
         first = draw_arrivals(Scenario.STEADY, 1, 32.0, 10.0, 4)
         self.assertEqual(first, draw_arrivals(Scenario.STEADY, 1, 32.0, 10.0, 4))
         self.assertNotEqual(first, draw_arrivals(Scenario.STEADY, 2, 32.0, 10.0, 4))
@@ -36,26 +36,27 @@
 
     def test_hot_shift_gives_a_small_account_half_of_the_traffic(self) -> None:
         arrivals = draw_arrivals(Scenario.HOT_SHIFT, 1, 100.0, 20.0, 4)
-        late = [a for a in arrivals if a.at >= 10.0]
-        hot = [a for a in late if a.account == SMALL_ACCOUNTS[-1]]
-        self.assertAlmostEqual(len(hot) / len(late), 0.5, delta=0.1)
+        second_half = [a for a in arrivals if a.at >= 10.0]
+        hot = [a for a in second_half if a.account == SMALL_ACCOUNTS[-1]]
+        self.assertAlmostEqual(len(hot) / len(second_half), 0.5, delta=0.1)
 
     def test_prompts_nest_and_fill_whole_pieces(self) -> None:
         arrivals = draw_arrivals(Scenario.STEADY, 1, 100.0, 10.0, 4)
-        one = arrivals[0]
+        sample = arrivals[0]
         same_site = [
             a
             for a in arrivals
-            if (a.account, a.site) == (one.account, one.site) and a.batch != one.batch
+            if (a.account, a.site) == (sample.account, sample.site)
+            and a.batch != sample.batch
         ]
-        self.assertEqual(len(one.prompt), 8 * 4000)
-        self.assertEqual(one.prompt[: 6 * 4000], same_site[0].prompt[: 6 * 4000])
-        self.assertNotEqual(one.prompt, same_site[0].prompt)
+        self.assertEqual(len(sample.prompt), 8 * 4000)
+        self.assertEqual(sample.prompt[: 6 * 4000], same_site[0].prompt[: 6 * 4000])
+        self.assertNotEqual(sample.prompt, same_site[0].prompt)
 
-    def test_seeds_are_merged(self) -> None:
+    def test_results_of_all_seeds_are_merged(self) -> None:
         plan = BenchPlan("out", scenarios=("steady",), policies=("default",))
-        found = [a_result(1, 1000, 8), a_result(2, 3000, 4)]
-        rows = merge_results(found, plan)
+        matching = [a_result(1, 1000, 8), a_result(2, 3000, 4)]
+        rows = merge_results(matching, plan)
         self.assertEqual(len(rows), 1)
         self.assertEqual(rows[0].n_requests, 2)
         self.assertEqual(rows[0].hit_rate, 0.75)
