--- a/packages/corianderlb-standins/src/corianderlb_standins/call_probe.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/call_probe.py
@@ -1,7 +1,7 @@
-"""Probes of what calls cost: admission, grants, and writes of the journal.
+"""Probes of the cost of admission, grants and journal writes.
 
-The journal's probe counts writes to a store in memory that answers after a few
-milliseconds, as the platform's does; it says nothing about the store's own speed.
+The journal probe counts writes to an in-memory store with a fixed latency. It does not
+measure the speed of the platform's store.
 """
 
 from __future__ import annotations
@@ -35,25 +35,27 @@
 from .slope import Probe
 
 ROUNDS: Final = 5
-"""Rounds of which the quickest counts."""
+"""Number of rounds; the fastest is reported."""
 
 N_CALLS: Final = 2000
-"""Decisions in a round."""
+"""Admissions per round."""
 
-MICRO: Final = 1e6
-"""Microseconds in a second."""
+US_PER_S: Final = 1e6
+"""Microseconds per second."""
 
-STORE_S: Final = 0.005
-"""Seconds that the store in memory takes for a call."""
+STORE_DELAY_S: Final = 0.005
+"""Latency of the in-memory store."""
 
 N_ROUTERS: Final = 4
-"""Routers that write to the journal at once."""
+"""Routers that write to the journal concurrently."""
 
-ROOMY: Final = Limits(requests_per_s=1e6, concurrent=100_000, tokens_per_s=1e9)
-"""Limits that are held and never reached."""
+UNREACHED_LIMITS: Final = Limits(
+    requests_per_s=1e6, concurrent=100_000, tokens_per_s=1e9
+)
+"""Limits that are enforced but never reached."""
 
 
-class _Fixed(CatalogueSource):
+class _FixedCatalogue(CatalogueSource):
     def __init__(self, catalogue: Catalogue) -> None:
         self._in_force = CatalogueInForce(catalogue, "", 0.0)
 
@@ -62,7 +64,7 @@
 
 
 class AdmissionProbe(Probe):
-    """Time one admission and release, with limits held for each account."""
+    """CPU time of one admission and release, with limits for each account."""
 
     name: ClassVar[str] = "admission decision"
     x_unit: ClassVar[str] = "client accounts"
@@ -70,23 +72,27 @@
     sizes: ClassVar[tuple[int, ...]] = (8, 220)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of one admission in microseconds."""
-        accounts = [an_account(f"account-{n}", limits=ROOMY) for n in range(size)]
+        """Return the CPU time of one admission in microseconds."""
+        accounts = [
+            an_account(f"account-{n}", limits=UNREACHED_LIMITS) for n in range(size)
+        ]
         async with trio.open_nursery() as nursery:
             hub = FakeHub(nursery)
             limiter = Limiter(
                 InstanceId("r1"),
-                _Fixed(a_catalogue(*accounts)),
+                _FixedCatalogue(a_catalogue(*accounts)),
                 PlatformDirectory(),
                 hub.join("r1"),
             )
             nursery.start_soon(limiter.run)
             names = [AccountId(account.name) for account in accounts]
-            best = min([await self._round(limiter, names) for _ in range(ROUNDS)])
+            best = min(
+                [await self._measure_round(limiter, names) for _ in range(ROUNDS)]
+            )
             nursery.cancel_scope.cancel()
         return best
 
-    async def _round(self, limiter: Limiter, names: list[AccountId]) -> float:
+    async def _measure_round(self, limiter: Limiter, names: list[AccountId]) -> float:
         deadline = trio.current_time() + 60.0
         requests = [
             some_facts(account=names[n % len(names)], deadline=deadline)
@@ -97,7 +103,7 @@
         started = time.process_time()
         for facts in requests:
             await self._admit(limiter, facts)
-        return (time.process_time() - started) / N_CALLS * MICRO
+        return (time.process_time() - started) / N_CALLS * US_PER_S
 
     async def _admit(self, limiter: Limiter, facts: object) -> None:
         slot = await limiter.admit(facts)  # type: ignore[arg-type]
@@ -106,7 +112,7 @@
 
 
 class GrantProbe(Probe):
-    """Time one grant at an entry's home, its messages included."""
+    """CPU time of one grant on an entry's primary router, messages included."""
 
     name: ClassVar[str] = "grant by an account's home"
     x_unit: ClassVar[str] = "asking routers"
@@ -114,8 +120,8 @@
     sizes: ClassVar[tuple[int, ...]] = (4, 100, 410)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of one grant in microseconds."""
-        ledger = PrimaryLedger(ROOMY, GrantTerms(), 0.0)
+        """Return the CPU time of one grant in microseconds."""
+        ledger = PrimaryLedger(UNREACHED_LIMITS, GrantTerms(), 0.0)
         requests = [
             GrantRequest(
                 "account/northwest-charcoal", InstanceId(f"r{n}"), 10.0, 1e4, 8, 4
@@ -129,11 +135,11 @@
             for frame in frames:
                 encode(ledger.grant(decode(frame), 0.0))  # type: ignore[arg-type]
             best = min(best, time.process_time() - started)
-        return best / size * MICRO
+        return best / size * US_PER_S
 
 
 class JournalWritesProbe(Probe):
-    """Count the store's writes for a call, by the calls that run at once."""
+    """Store writes per call, by the number of concurrent calls."""
 
     name: ClassVar[str] = "journal writes for a call"
     x_unit: ClassVar[str] = "calls at once, over 4 routers"
@@ -141,9 +147,9 @@
     sizes: ClassVar[tuple[int, ...]] = (1, 10, 100)
 
     async def measure(self, size: int) -> float:
-        """Return the writes for one call, conflicts included."""
+        """Return the writes per call, conflicts included."""
         store = FakeStore()
-        store.faults.delay_s = STORE_S
+        store.faults.delay_s = STORE_DELAY_S
         journals = [
             StoreCallJournal(
                 store, InstanceId(f"r{n}"), 1, JournalSettings(), rng=random.Random(n)
@@ -175,4 +181,4 @@
     GrantProbe(),
     JournalWritesProbe(),
 )
-"""All probes of calls; they need no other process."""
+"""All probes of this module; they run within this process."""
--- a/packages/corianderlb-standins/src/corianderlb_standins/capacity_page.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/capacity_page.py
@@ -1,7 +1,7 @@
-"""Work the tables of ``docs/CAPACITY.md`` out of measured slopes.
+"""Compute the tables of ``docs/CAPACITY.md`` from measured slopes.
 
-Each row is one role of a node at the size to design for: what it costs, from which
-slopes, and whether it stays within the users' budget for control.
+Each row gives the cost of one role of a node at the design size and the slopes that it
+is computed from. The total is compared with the budget for control.
 """
 
 from __future__ import annotations
@@ -14,46 +14,46 @@
 from .slope import Slope
 
 N_LINKS: Final = 6
-"""Links of a router to others; ``peer.n_peers``."""
+"""Links of a router to other routers; ``peer.n_peers``."""
 
 N_REGIONS: Final = 2
 
 GOSSIP_BUDGET: Final = 800.0
-"""Bytes a second that load vectors may take; ``placement.gossip_budget``."""
+"""Bytes per second for load vectors; ``placement.gossip_budget``."""
 
 READ_BUDGET: Final = 1000.0
-"""Bytes a second that reading loads may take; ``placement.read_budget``."""
+"""Bytes per second for reading loads; ``placement.read_budget``."""
 
 GRANT_RENEW_S: Final = 1.5
-"""Seconds between two grants of an active entry; half of ``grant_valid_s``."""
+"""Interval between grants of an active entry; half of ``grant_valid_s``."""
 
 TOKEN_GAP_S: Final = 0.033
-"""Seconds between two tokens, the users' bound."""
+"""Required maximum interval between two tokens of a stream."""
 
 PIECES_PER_PROMPT: Final = 10.0
-"""Assumed: prompts of 40,000 characters."""
+"""Assumed length of a prompt: 40,000 characters."""
 
 N_ENTRIES: Final = 320
-"""Entries of the catalogue: accounts, models, and assumed adapters and routes."""
+"""Assumed entries of the catalogue: accounts, models, adapters and routes."""
 
 CHANGE_BYTES: Final = 600.0
-"""Assumed bytes of a change to one entry, as it is stored."""
+"""Assumed size of a stored change to one entry."""
 
 DAY_S: Final = 86400.0
 MB: Final = float(1 << 20)
-MICRO: Final = 1e-6
+S_PER_US: Final = 1e-6
 
 
 @dataclass(frozen=True)
 class Cost:
-    """Hold what one role costs one node."""
+    """Cost of one role on one node."""
 
     role: str
     core_share: float
     memory_mb: float
     bytes_per_s: float
     basis: str
-    """How the figures follow from slopes and sizes."""
+    """How the figures are derived from slopes and sizes."""
     mechanism: str
 
 
@@ -73,7 +73,7 @@
 
 
 def render_costs(slopes: Mapping[str, Slope]) -> str:
-    """Return the table of a node's control, the data path and the store's calls."""
+    """Return the table of a node's control costs, compared with the budget."""
     costs = control_costs(slopes, DesignSize())
     budget = ControlBudget()
     total = Cost(
@@ -91,12 +91,12 @@
         f"| budget | {budget.core_share:.1%} | {budget.memory_mb:g} "
         f"| {budget.bytes_per_s:g} | letter 1 | |",
     ]
-    verdicts = [
-        _verdict("core", total.core_share, budget.core_share),
-        _verdict("memory", total.memory_mb, budget.memory_mb),
-        _verdict("bytes", total.bytes_per_s, budget.bytes_per_s),
+    budget_results = [
+        _budget_result("core", total.core_share, budget.core_share),
+        _budget_result("memory", total.memory_mb, budget.memory_mb),
+        _budget_result("bytes", total.bytes_per_s, budget.bytes_per_s),
     ]
-    return "\n".join(lines) + "\n\n" + "; ".join(verdicts) + ".\n"
+    return "\n".join(lines) + "\n\n" + "; ".join(budget_results) + ".\n"
 
 
 def control_costs(slopes: Mapping[str, Slope], size: DesignSize) -> list[Cost]:
@@ -104,9 +104,9 @@
     n_regional = size.n_upstream_instances / N_REGIONS
     return [
         _membership(slopes, size),
-        _readers(slopes, size),
-        _vectors(slopes, n_regional),
-        _account_homes(slopes, size),
+        _upstream_reader(slopes, size),
+        _load_vectors(slopes, n_regional),
+        _grants(slopes, size),
         _catalogue(slopes, size),
     ]
 
@@ -119,7 +119,7 @@
     return Cost("membership and links", core, memory, sent, basis, "sparse overlay")
 
 
-def _readers(slopes: Mapping[str, Slope], size: DesignSize) -> Cost:
+def _upstream_reader(slopes: Mapping[str, Slope], size: DesignSize) -> Cost:
     n_read = size.n_upstream_instances / size.n_routers
     core = slopes["idle core share by upstreams"].slope / 100 * 2 * n_read
     memory = slopes["upstream instances in memory"].at(size.n_upstream_instances) / MB
@@ -127,17 +127,17 @@
     return Cost("upstream reader", core, memory, READ_BUDGET, basis, "one a region")
 
 
-def _vectors(slopes: Mapping[str, Slope], n_regional: float) -> Cost:
+def _load_vectors(slopes: Mapping[str, Slope], n_regional: float) -> Cost:
     frame = slopes["load vector frame"].at(n_regional)
     rounds_per_s = GOSSIP_BUDGET / (frame * N_LINKS)
-    each_us = slopes["load vector, written and read"].at(n_regional)
-    core = each_us * MICRO * rounds_per_s * N_LINKS
+    round_trip_us = slopes["load vector, written and read"].at(n_regional)
+    core = round_trip_us * S_PER_US * rounds_per_s * N_LINKS
     basis = f"{frame:.0f} bytes to {N_LINKS} links every {1 / rounds_per_s:.1f} s"
     return Cost("load vectors", core, 0.0, GOSSIP_BUDGET, basis, "byte budget")
 
 
-def _account_homes(slopes: Mapping[str, Slope], size: DesignSize) -> Cost:
-    """Return the cost of asking for grants; a home's own answers are in the text."""
+def _grants(slopes: Mapping[str, Slope], size: DesignSize) -> Cost:
+    """Return the cost of requesting grants, without the primary router's answers."""
     active = min(size.n_accounts, size.requests_per_router_s * GRANT_RENEW_S)
     exchange = slopes["grants asked and answered"].slope
     sent = active / GRANT_RENEW_S * exchange
@@ -147,7 +147,7 @@
 
 def _catalogue(slopes: Mapping[str, Slope], size: DesignSize) -> Cost:
     per_s = size.changes_per_day / DAY_S
-    core = slopes["applying a change"].at(N_ENTRIES) * MICRO * per_s
+    core = slopes["applying a change"].at(N_ENTRIES) * S_PER_US * per_s
     memory = slopes["catalogue in memory"].at(N_ENTRIES) / MB
     sent = per_s * CHANGE_BYTES * N_LINKS
     basis = f"{per_s:.3f} changes/s to {N_LINKS} links"
@@ -155,12 +155,12 @@
 
 
 def render_data_path(slopes: Mapping[str, Slope]) -> str:
-    """Return what callers' traffic costs one node, which is not control."""
+    """Return the table of the cost of callers' traffic on one node."""
     size = DesignSize()
-    events = size.tokens_per_router_s * slopes["relayed events"].slope * MICRO
-    requests = size.requests_per_router_s * slopes["short requests"].slope * MICRO
+    events = size.tokens_per_router_s * slopes["relayed events"].slope * S_PER_US
+    requests = size.requests_per_router_s * slopes["short requests"].slope * S_PER_US
     prompts = slopes["prefix keys of a prompt"].at(PIECES_PER_PROMPT)
-    keys = size.requests_per_router_s * prompts * MICRO
+    keys = size.requests_per_router_s * prompts * S_PER_US
     tokens = size.tokens_per_s / size.requests_per_s
     n_streams = size.requests_per_router_s * tokens * TOKEN_GAP_S
     memory = slopes["streams in flight"].slope * n_streams
@@ -179,16 +179,16 @@
 
 
 def render_store(slopes: Mapping[str, Slope]) -> str:
-    """Return what the fleet asks of the platform's service."""
+    """Return the table of the fleet's calls to the platform's store."""
     size, budget = DesignSize(), StoreBudget()
     idle = slopes["idle store calls by routers"].at(size.n_routers)
-    herd = slopes["store calls of a herd start"].at(size.n_routers)
+    n_calls = slopes["store calls of a herd start"].at(size.n_routers)
     writes = slopes["store writes of non-repeatable calls"].slope
     lines = [
         "| calls | at the size to design for | budget |",
         "|---|---|---|",
         f"| idle, watches included | {idle:.0f}/s | {budget.reads_per_s:g} reads/s |",
-        f"| all 410 start together | {herd:.0f} in all | {budget.reads_per_s:g}/s |",
+        f"| all 410 start together | {n_calls:.0f} in all | {budget.reads_per_s:g}/s |",
         f"| non-repeatable calls | {writes:.1f} writes each: "
         f"{budget.writes_per_s / writes:.0f} calls/s at most "
         f"| {budget.writes_per_s:g} writes/s |",
@@ -205,5 +205,5 @@
     )
 
 
-def _verdict(name: str, used: float, allowed: float) -> str:
+def _budget_result(name: str, used: float, allowed: float) -> str:
     return f"{name}: {'fits' if used <= allowed else 'does not fit'}"
--- a/packages/corianderlb-standins/src/corianderlb_standins/core_probe.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/core_probe.py
@@ -1,7 +1,7 @@
-"""Probes of costs inside one process: decisions, catalogue, keys and messages.
+"""Probes of the cost of decisions, catalogue, prefix keys and messages.
 
-Each measures the very code that a router runs. Times are processor time of this
-process, the least of several rounds, since anything else the machine does only adds.
+The probes run a router's own code within this process. Times are CPU time, and the
+minimum of several rounds, because other load on the machine only adds to them.
 """
 
 from __future__ import annotations
@@ -58,41 +58,41 @@
 from .slope import Probe
 
 ROUNDS: Final = 5
-"""Rounds of which the quickest counts."""
+"""Number of rounds; the fastest is reported."""
 
-MICRO: Final = 1e6
-"""Microseconds in a second."""
+US_PER_S: Final = 1e6
+"""Microseconds per second."""
 
 PIECE_CHARS: Final = 4000
-"""Characters of one piece of a prompt."""
+"""Characters per piece."""
 
 
-def least_us(work: Callable[[], object], n_calls: int) -> float:
-    """Return the least processor time of a call over several rounds, in us."""
+def min_cpu_us(operation: Callable[[], object], n_calls: int) -> float:
+    """Return the minimum CPU time per call over several rounds, in microseconds."""
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.process_time()
         for _ in range(n_calls):
-            work()
+            operation()
         best = min(best, time.process_time() - started)
-    return best / n_calls * MICRO
+    return best / n_calls * US_PER_S
 
 
 def allocated_bytes(make: Callable[[], object]) -> float:
-    """Return the bytes that what ``make`` returns keeps allocated."""
+    """Return the bytes that the result of ``make`` keeps allocated."""
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        kept = make()
+        retained = make()
         after, _ = tracemalloc.get_traced_memory()
-        del kept
+        del retained
         return float(after - before)
     finally:
         tracemalloc.stop()
 
 
 class PlacementProbe(Probe):
-    """Time one decision of the default policy against the instances of an upstream."""
+    """CPU time of a decision of the default policy, by instances of the upstream."""
 
     name: ClassVar[str] = "placement decision"
     x_unit: ClassVar[str] = "upstream instances"
@@ -100,16 +100,16 @@
     sizes: ClassVar[tuple[int, ...]] = (5, 50, 133, 930)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of a decision in microseconds."""
+        """Return the CPU time of one decision in microseconds."""
         rng = random.Random(7)
         policy = make_policy(PlacementSettings(), rng)
         instances = _instances(size)
         queries = [_query(instances, n) for n in range(64)]
-        return least_us(lambda: _decide(policy, rng.choice(queries)), 200)
+        return min_cpu_us(lambda: _decide(policy, rng.choice(queries)), 200)
 
 
 class PrefixProbe(Probe):
-    """Time the keys of a prompt's prefixes."""
+    """CPU time to compute the prefix keys of a prompt."""
 
     name: ClassVar[str] = "prefix keys of a prompt"
     x_unit: ClassVar[str] = "pieces"
@@ -117,14 +117,14 @@
     sizes: ClassVar[tuple[int, ...]] = (1, 4, 16, 64)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time for one prompt in microseconds."""
+        """Return the CPU time for one prompt in microseconds."""
         text = "kiln log " * (size * PIECE_CHARS // 9 + 1)
         scope = PrefixScope("salt", "w1")
-        return least_us(lambda: prefix_keys(text, scope, PIECE_CHARS), 50)
+        return min_cpu_us(lambda: prefix_keys(text, scope, PIECE_CHARS), 50)
 
 
 class CatalogueMemoryProbe(Probe):
-    """Weigh a catalogue in memory."""
+    """Memory of a catalogue."""
 
     name: ClassVar[str] = "catalogue in memory"
     x_unit: ClassVar[str] = "entries"
@@ -137,7 +137,7 @@
 
 
 class ChangeProbe(Probe):
-    """Time the application of one change to a catalogue."""
+    """CPU time to apply one change to a catalogue."""
 
     name: ClassVar[str] = "applying a change"
     x_unit: ClassVar[str] = "entries"
@@ -145,14 +145,14 @@
     sizes: ClassVar[tuple[int, ...]] = (50, 250, 1000)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of one change in microseconds."""
+        """Return the CPU time of one change in microseconds."""
         catalogue = _catalogue(size)
         change = a_change(catalogue.version + 1, an_account("changed"))
-        return least_us(lambda: apply_change(catalogue, change), 100)
+        return min_cpu_us(lambda: apply_change(catalogue, change), 100)
 
 
 class HeartbeatBytesProbe(Probe):
-    """Weigh a heartbeat by the members whose state it carries."""
+    """Size of a heartbeat frame, by the member states that it carries."""
 
     name: ClassVar[str] = "heartbeat frame"
     x_unit: ClassVar[str] = "members"
@@ -165,7 +165,7 @@
 
 
 class HeartbeatTimeProbe(Probe):
-    """Time writing and reading a heartbeat."""
+    """CPU time to encode and decode a heartbeat."""
 
     name: ClassVar[str] = "heartbeat, written and read"
     x_unit: ClassVar[str] = "members"
@@ -173,13 +173,13 @@
     sizes: ClassVar[tuple[int, ...]] = (1, 10, 100)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of both in microseconds."""
+        """Return the CPU time of both in microseconds."""
         heartbeat = _heartbeat(size)
-        return least_us(lambda: decode(encode(heartbeat)), 100)
+        return min_cpu_us(lambda: decode(encode(heartbeat)), 100)
 
 
 class JournalBytesProbe(Probe):
-    """Weigh the head of a journal shard by its records, with short answers."""
+    """Size of a journal shard's head, by its records, with short answers."""
 
     name: ClassVar[str] = "journal shard head"
     x_unit: ClassVar[str] = "records"
@@ -187,12 +187,12 @@
     sizes: ClassVar[tuple[int, ...]] = (10, 100, 400)
 
     async def measure(self, size: int) -> float:
-        """Return the bytes of the object in the store."""
+        """Return the bytes of the stored object."""
         return float(len(to_cbor(ShardHead(tuple(map(_record, range(size)))))))
 
 
 class VectorBytesProbe(Probe):
-    """Weigh a load vector by the upstream instances of the region."""
+    """Size of a load vector frame, by the upstream instances of the region."""
 
     name: ClassVar[str] = "load vector frame"
     x_unit: ClassVar[str] = "upstream instances"
@@ -205,7 +205,7 @@
 
 
 class VectorTimeProbe(Probe):
-    """Time packing, writing, reading and unpacking a load vector."""
+    """CPU time to pack, encode, decode and unpack a load vector."""
 
     name: ClassVar[str] = "load vector, written and read"
     x_unit: ClassVar[str] = "upstream instances"
@@ -213,18 +213,18 @@
     sizes: ClassVar[tuple[int, ...]] = (120, 465, 930)
 
     async def measure(self, size: int) -> float:
-        """Return the processor time of all four in microseconds."""
+        """Return the CPU time of all four steps in microseconds."""
 
-        def work() -> None:
+        def operation() -> None:
             message = decode(encode(_vector(size)))
             assert isinstance(message, LoadVector)
             load_vector.unpack(message.packed, size)
 
-        return least_us(work, 20)
+        return min_cpu_us(operation, 20)
 
 
 class GrantBytesProbe(Probe):
-    """Weigh the exchange of a grant, question and answer, by limited entries."""
+    """Size of grant requests and their answers, by entries with limits."""
 
     name: ClassVar[str] = "grants asked and answered"
     x_unit: ClassVar[str] = "entries"
@@ -232,12 +232,12 @@
     sizes: ClassVar[tuple[int, ...]] = (1, 10, 100)
 
     async def measure(self, size: int) -> float:
-        """Return the bytes of all frames."""
+        """Return the total bytes of all frames."""
         return float(sum(_grant_bytes(n) for n in range(size)))
 
 
 class MemberMemoryProbe(Probe):
-    """Weigh the table of routers in memory."""
+    """Memory of the member states of routers."""
 
     name: ClassVar[str] = "members in memory"
     x_unit: ClassVar[str] = "routers"
@@ -250,7 +250,7 @@
 
 
 class InstanceMemoryProbe(Probe):
-    """Weigh what a router keeps of upstream instances."""
+    """Memory of the loads of upstream instances."""
 
     name: ClassVar[str] = "upstream instances in memory"
     x_unit: ClassVar[str] = "upstream instances"
@@ -263,7 +263,7 @@
 
 
 class DecisionMemoryProbe(Probe):
-    """Weigh the decisions that a router keeps for explanations."""
+    """Memory of the decision reports that a router keeps for operators."""
 
     name: ClassVar[str] = "decisions in memory"
     x_unit: ClassVar[str] = "decisions"
@@ -290,7 +290,7 @@
     InstanceMemoryProbe(),
     DecisionMemoryProbe(),
 )
-"""All probes that need no other process."""
+"""All probes of this module; they run within this process."""
 
 
 def _decide(policy: PlacementPolicy, query: PlacementQuery) -> None:
@@ -358,9 +358,11 @@
 
 def _grant_bytes(n: int) -> int:
     entry = f"account/northwest-charcoal-{n}"
-    question = GrantRequest(entry, InstanceId("router-1"), 2.5, 900.0, 3, 2, n, 0.0)
-    answer = Grant(entry, 2.5, 900.0, 3, 3.0, n, 0.0)
-    return len(encode(question)) + len(encode(answer))
+    grant_request = GrantRequest(
+        entry, InstanceId("router-1"), 2.5, 900.0, 3, 2, n, 0.0
+    )
+    grant = Grant(entry, 2.5, 900.0, 3, 3.0, n, 0.0)
+    return len(encode(grant_request)) + len(encode(grant))
 
 
 def _report(n: int) -> DecisionReport:
--- a/packages/corianderlb-standins/src/corianderlb_standins/design_size.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/design_size.py
@@ -1,4 +1,4 @@
-"""The size to design for, from the users' first letter, and what follows from it."""
+"""Size of fleet and traffic that the system is designed for, and its budgets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class DesignSize:
-    """Hold the numbers that the capacity page is worked out for."""
+    """Fleet and traffic that the capacity page is computed for."""
 
     n_routers: int = 410
     n_upstream_instances: int = 930
@@ -21,16 +21,16 @@
     changes_per_day: float = 1600.0
     in_force_s: float = 13.0
     restarts_per_day: float = 163.0
-    """23 instances that fail and 140 that are restarted or replaced."""
+    """23 failures and 140 restarts or replacements."""
 
     @property
     def tokens_per_router_s(self) -> float:
-        """Stream events a router relays a second when traffic is spread evenly."""
+        """Stream events per second that a router relays with evenly spread traffic."""
         return self.tokens_per_s / self.n_routers
 
     @property
     def requests_per_router_s(self) -> float:
-        """Requests that arrive at one router a second."""
+        """Requests per second that arrive at one router."""
         return self.requests_per_s / self.n_routers
 
     @property
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ControlBudget:
-    """Hold what one node may spend on control."""
+    """Resources that one node may spend on control."""
 
     core_share: float = 0.046
     memory_mb: float = 32.0
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class StoreBudget:
-    """Hold the rates of the platform's service, low ends of the users' words."""
+    """Rates that the platform's store supports, at the low end of its range."""
 
     writes_per_s: float = 300.0
     reads_per_s: float = 2000.0
--- a/packages/corianderlb-standins/src/corianderlb_standins/in_force_probe.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/in_force_probe.py
@@ -1,4 +1,4 @@
-"""Measure how long an accepted change takes until it is in force on every router."""
+"""Measure the time from a change's acceptance until all routers have it in force."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from .fleet_plan import FleetPlan
 
 N_HEALTHY: Final = 40
-"""Edits with the store healthy."""
+"""Edits with a healthy store."""
 
-N_FAILING: Final = 10
-"""Edits right after whose acceptance the store answers nobody for a while."""
+N_WITH_OUTAGE: Final = 10
+"""Edits with a store outage right after their acceptance."""
 
 OUTAGE_S: Final = 4.0
-"""Length of that outage, in seconds."""
+"""Duration of each outage."""
 
 
 @dataclass(frozen=True)
 class InForceTimes:
-    """Hold seconds from acceptance until the last router had each change."""
+    """Seconds from the acceptance of each change until it was in force everywhere."""
 
     healthy: tuple[float, ...]
-    failing: tuple[float, ...]
+    with_outage: tuple[float, ...]
     n_during_outage: int
-    """Changes that were in force everywhere before the store came back."""
+    """Changes in force on all routers before the store recovered."""
 
 
 async def measure_in_force(seed: int, n_routers: int = 4) -> InForceTimes:
-    """Edit the catalogue of a running fleet and read back when it came into force."""
+    """Edit the catalogue of a running fleet and time each change until in force."""
     rng = random.Random(seed)
     plan = FleetPlan(n_engines=0, n_services=0, n_routers=n_routers)
     async with running_fleet(plan, timeout_s=180.0) as fleet:
@@ -49,25 +49,27 @@
         healthy = [
             await _time_edit(fleet, editor, rng, outage_s=0.0) for _ in range(N_HEALTHY)
         ]
-        failing = [
+        with_outage = [
             await _time_edit(fleet, editor, rng, outage_s=OUTAGE_S)
-            for _ in range(N_FAILING)
+            for _ in range(N_WITH_OUTAGE)
         ]
         await store.aclose()
-    n_during = sum(lasted < OUTAGE_S for lasted in failing)
-    return InForceTimes(tuple(healthy), tuple(failing), n_during)
+    n_during = sum(elapsed_s < OUTAGE_S for elapsed_s in with_outage)
+    return InForceTimes(tuple(healthy), tuple(with_outage), n_during)
 
 
 async def run_in_force(seed: int) -> int:
-    """Measure, print, and return the exit code."""
+    """Measure and print the times; return the exit code."""
     times = await measure_in_force(seed)
-    _print("store healthy", times.healthy)
-    _print(f"store down for {OUTAGE_S:g} s right after acceptance", times.failing)
+    _print_times("store healthy", times.healthy)
+    _print_times(
+        f"store down for {OUTAGE_S:g} s right after acceptance", times.with_outage
+    )
     print(f"  of these in force everywhere during the outage: {times.n_during_outage}")
     return 0
 
 
-def _print(name: str, seconds: tuple[float, ...]) -> None:
+def _print_times(name: str, seconds: tuple[float, ...]) -> None:
     print(
         f"{name}: n {len(seconds)}, p50 {statistics.median(seconds):.3f} s, "
         f"max {max(seconds):.3f} s"
@@ -77,27 +79,27 @@
 async def _time_edit(
     fleet: Fleet, editor: CatalogueEditor, rng: random.Random, outage_s: float
 ) -> float:
-    """Return seconds from one acceptance until the last router had the change."""
+    """Accept one edit; return the seconds until all routers have it in force."""
     await trio.sleep(rng.uniform(0.1, 1.0))
     base = (await editor.newest()).version
-    put = (an_account("probe", weight=rng.uniform(1, 2)),)
-    await editor.accept(Edit(f"probe-{base}", base, "probe", "measure", put))
+    entries = (an_account("probe", weight=rng.uniform(1, 2)),)
+    await editor.accept(Edit(f"probe-{base}", base, "probe", "measure", entries))
     accepted_at = time.time()
     if outage_s:
         await fleet.fault("store", down="503")
         await trio.sleep(outage_s)
         await fleet.fault("store", down="")
-    return await _last_since(fleet, base + 1) - accepted_at
+    return await _last_in_force_at(fleet, base + 1) - accepted_at
 
 
-async def _last_since(fleet: Fleet, version: int) -> float:
-    """Return when the last router put a version in force, by the routers' word."""
+async def _last_in_force_at(fleet: Fleet, version: int) -> float:
+    """Return when the last router put a version in force, as the routers report it."""
     last = 0.0
     for router in fleet.routers:
         status = await fleet.status(router)
         while status["catalogue_version"] != version:
             await trio.sleep(0.02)
             status = await fleet.status(router)
-        since = datetime.fromisoformat(status["in_force_since"])
-        last = max(last, since.timestamp())
+        in_force_at = datetime.fromisoformat(status["in_force_since"])
+        last = max(last, in_force_at.timestamp())
     return last
--- a/packages/corianderlb-standins/src/corianderlb_standins/slope.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/slope.py
@@ -1,7 +1,7 @@
-"""Slopes: how a cost grows with one size, from two or more measured points.
+"""Growth of a cost with a size, as a line fitted to measured points.
 
-A probe measures a cost at several sizes. The least-squares line through the points
-gives the slope, which the capacity page multiplies by the size to design for.
+A probe measures a cost at several sizes. The capacity page extrapolates the
+least-squares line through these points to the design size.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Point:
-    """Hold one measurement: the cost ``y`` at the size ``x``."""
+    """Measured cost ``y`` at the size ``x``."""
 
     x: float
     y: float
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """Hold a line through measured points, with the units of its axes."""
+    """Line fitted to measured points, with the units of its axes."""
 
     name: str
     x_unit: str
@@ -32,30 +32,30 @@
     intercept: float
 
     def at(self, x: float) -> float:
-        """Return the cost at a size, which may lie beyond the measured ones."""
+        """Return the estimated cost at any size, also beyond the measured sizes."""
         return self.intercept + self.slope * x
 
 
 class Probe(ABC):
-    """Measure one cost at several sizes."""
+    """Base class of measurements of one cost at several sizes."""
 
     name: ClassVar[str]
     x_unit: ClassVar[str]
     y_unit: ClassVar[str]
     sizes: ClassVar[tuple[int, ...]]
-    """At least two."""
+    """Sizes to measure at; at least two."""
 
     @abstractmethod
     async def measure(self, size: int) -> float:
-        """Return the cost at one size."""
+        """Return the measured cost at one size."""
 
     async def run(self) -> Slope:
-        """Measure at each size and return the line through the points."""
+        """Measure at each size and return the fitted line."""
         points = [Point(size, await self.measure(size)) for size in self.sizes]
-        return fit(self.name, self.x_unit, self.y_unit, points)
+        return fit_line(self.name, self.x_unit, self.y_unit, points)
 
 
-def fit(name: str, x_unit: str, y_unit: str, points: list[Point]) -> Slope:
+def fit_line(name: str, x_unit: str, y_unit: str, points: list[Point]) -> Slope:
     """Return the least-squares line through two or more points."""
     line = statistics.linear_regression(
         [point.x for point in points], [point.y for point in points]
--- a/packages/corianderlb-standins/src/corianderlb_standins/slopes.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/slopes.py
@@ -1,4 +1,4 @@
-"""``make slopes``: measure all slopes and work the capacity tables out of them."""
+"""Measure all slopes and render the capacity tables (``make slopes``)."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
     render_store,
 )
 from .core_probe import CORE_PROBES
-from .fleet_probe import herd_slope, idle_slopes
+from .fleet_probe import idle_slopes, restart_slope
 from .slope import Slope
-from .traffic_probe import call_slope, traffic_slopes
+from .traffic_probe import store_write_slope, traffic_slopes
 
 SLOPES_FILE: Final = "slopes.json"
-"""Where the measured points go, in the output folder."""
+"""Output file for the measured points."""
 
 PAGE_FILE: Final = "capacity.md"
-"""Where the tables for ``docs/CAPACITY.md`` go."""
+"""Output file for the tables of ``docs/CAPACITY.md``."""
 
 
 async def run_slopes(folder: Path) -> int:
-    """Measure, write the points and the tables, print them; return the exit code."""
+    """Measure, write the points and tables, print the tables; return the exit code."""
     folder.mkdir(parents=True, exist_ok=True)
     slopes: list[Slope] = [await probe.run() for probe in (*CORE_PROBES, *CALL_PROBES)]
     slopes += await traffic_slopes()
-    slopes.append(await call_slope())
+    slopes.append(await store_write_slope())
     slopes += await idle_slopes()
-    slopes.append(await herd_slope())
+    slopes.append(await restart_slope())
     (folder / SLOPES_FILE).write_bytes(to_json(slopes))
     text = render_tables(slopes)
     (folder / PAGE_FILE).write_text(text)
