--- a/packages/corianderlb-standins/src/corianderlb_standins/__main__.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run a stand-in, the demo or a measurement: ``python -m corianderlb_standins``."""
+"""Command line of the stand-ins, the demo and the benchmarks."""
 
 from __future__ import annotations
 
@@ -31,28 +31,36 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run what the first argument names; return the exit code."""
+    """Run the command that the arguments select; return its exit code."""
     args = _parser().parse_args(argv)
     return args.run(args) or 0
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="corianderlb_standins", description=__doc__)
-    commands = parser.add_subparsers(required=True, metavar="what")
-    store = _add(commands, "store", _run_store, "the platform's object service")
+    commands = parser.add_subparsers(required=True, metavar="command")
+    store = _add_stand_in(
+        commands, "store", _run_store, "run a stand-in of the platform's object store"
+    )
     store.set_defaults(epoch=0)
     _add_engine(commands)
-    service = _add(commands, "service", _run_service, "a plain service")
+    service = _add_stand_in(
+        commands, "service", _run_service, "run a plain HTTP service"
+    )
     service.add_argument("--instance", default="service")
-    kv_cache = _add(commands, "kv-cache", _run_kv_cache, "a KV cache upstream")
+    kv_cache = _add_stand_in(
+        commands, "kv-cache", _run_kv_cache, "run a KV cache upstream"
+    )
     kv_cache.add_argument("--capacity", type=int, default=100_000)
-    proxy = _add(commands, "fault-proxy", _run_proxy, "a TCP proxy with faults")
+    proxy = _add_stand_in(
+        commands, "fault-proxy", _run_proxy, "run a TCP proxy that injects faults"
+    )
     proxy.add_argument("--target", required=True, metavar="HOST:PORT")
     proxy.add_argument("--control-port", type=int, default=0)
-    demo = commands.add_parser("demo", help="the whole path on separate processes")
-    demo.add_argument("--prompt-file", type=Path, help="a prompt of your own")
+    demo = commands.add_parser("demo", help="run a fleet of processes and check it")
+    demo.add_argument("--prompt-file", type=Path, help="file with the prompt to send")
     demo.set_defaults(run=_run_demo)
-    bench = commands.add_parser("bench", help="the policies beside each other")
+    bench = commands.add_parser("bench", help="compare the placement policies")
     bench.add_argument("--out", type=Path, default=Path("out"))
     bench.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
     bench.add_argument("--seconds", type=float, default=28.0)
@@ -62,24 +70,28 @@
     )
     bench.add_argument("--policies", nargs="+", default=list(POLICIES))
     bench.set_defaults(run=_run_bench)
-    cell = commands.add_parser("bench-cell", help="one cell of the bench, as JSON")
+    cell = commands.add_parser("bench-cell", help="run one bench cell, print JSON")
     cell.add_argument("plan")
     cell.set_defaults(run=_run_bench_cell)
-    cost = commands.add_parser("relay-cost", help="processor time of a router")
+    cost = commands.add_parser("relay-cost", help="measure a router's CPU time")
     cost.set_defaults(run=lambda args: trio.run(run_relay_cost))
-    in_force = commands.add_parser("in-force", help="time changes until in force")
+    in_force = commands.add_parser(
+        "in-force", help="time changes until in force on all routers"
+    )
     in_force.add_argument("--seed", type=int, default=1)
     in_force.set_defaults(run=_run_in_force)
-    slopes = commands.add_parser("slopes", help="how costs grow, for the capacity page")
+    slopes = commands.add_parser(
+        "slopes", help="measure cost slopes for the capacity page"
+    )
     slopes.add_argument("--out", type=Path, default=Path("out"))
     slopes.set_defaults(run=lambda args: trio.run(run_slopes, args.out))
     return parser
 
 
-def _add(
+def _add_stand_in(
     commands: Any, name: str, run: Callable[[argparse.Namespace], Any], text: str
 ) -> argparse.ArgumentParser:
-    """Add a stand-in with the arguments that all of them have."""
+    """Add the command of a stand-in with the options that all stand-ins share."""
     parser = commands.add_parser(name, help=text)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
@@ -89,7 +101,7 @@
 
 
 def _add_engine(commands: Any) -> None:
-    parser = _add(commands, "engine", _run_engine, "a model engine")
+    parser = _add_stand_in(commands, "engine", _run_engine, "run a model engine")
     parser.add_argument("--instance", default="engine")
     parser.add_argument("--model", action="append", default=[], metavar="NAME=VERSION")
     parser.add_argument(
@@ -157,8 +169,8 @@
     cfg = EngineSettings(
         instance=args.instance,
         epoch=args.epoch,
-        models=_pairs(args.model),
-        adapters=_pairs(args.adapter),
+        models=_parse_pairs(args.model),
+        adapters=_parse_pairs(args.adapter),
         piece_chars=args.piece_chars,
         cache_pieces=args.cache_pieces,
         cost=BatchCost(args.slots, args.prefill_s, args.token_s),
@@ -173,8 +185,8 @@
     trio.run(serve_app, Engine(cfg), args.host, args.port)
 
 
-def _pairs(words: list[str]) -> dict[str, str]:
-    return dict(word.split("=", 1) for word in words)
+def _parse_pairs(pairs: list[str]) -> dict[str, str]:
+    return dict(pair.split("=", 1) for pair in pairs)
 
 
 if __name__ == "__main__":
--- a/packages/corianderlb-standins/src/corianderlb_standins/fleet.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fleet.py
@@ -1,6 +1,6 @@
-"""Run a whole fleet of separate processes on loopback, for demo, tests and benches.
+"""Run a fleet of separate processes on loopback, for the demo, tests and benchmarks.
 
-Everything it starts ends with it, whatever happens in between.
+``running_fleet`` ends all processes that it started, also after an error.
 """
 
 from __future__ import annotations
@@ -35,41 +35,41 @@
 from .process import Process, ProcessError, child_environment
 
 OPERATOR_KEY: Final = "operator-secret"
-"""Key of the operators of every fleet."""
+"""Operator key of every fleet."""
 
 PEER_KEY: Final = "peer-secret-of-this-fleet"
-"""Key that the routers of every fleet share."""
+"""Peer key that the routers of a fleet share."""
 
 READY_TIMEOUT_S: Final = 20.0
-"""Longest wait until a router is ready."""
+"""Maximum wait until all routers are ready."""
 
-END_GRACE_S: Final = 2.0
-"""How long a process may take to end before it is killed."""
+SHUTDOWN_TIMEOUT_S: Final = 2.0
+"""Maximum wait for killed processes to exit."""
 
-POLL_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 
 
 class Fleet:
-    """Hold the processes of a fleet; made by ``running_fleet``."""
+    """Processes of a fleet; created by ``running_fleet``."""
 
     def __init__(self, plan: FleetPlan, folder: Path) -> None:
         self.plan = plan
         self.folder = folder
         self.http = httpx.AsyncClient(timeout=30.0, trust_env=False)
         self.processes: dict[str, Process] = {}
-        """Every process by name, such as ``engine-1``, ``router-2`` or ``store``."""
+        """Processes by name, such as ``engine-1``, ``router-2`` or ``store``."""
         self.proxies: dict[str, Process] = {}
-        """Fault proxies by the name of the process behind them."""
+        """Fault proxies by the name of their target process."""
 
     @property
     def store(self) -> Process:
-        """The stand-in of the platform's service."""
+        """The stand-in of the platform's store."""
         return self.processes["store"]
 
     @property
     def store_url(self) -> str:
-        """Where routers reach the store."""
-        return f"http://{self.front('store')}"
+        """URL at which routers reach the store."""
+        return f"http://{self.reachable_address('store')}"
 
     @property
     def routers(self) -> list[Process]:
@@ -91,12 +91,12 @@
         names = (name for name in self.processes if name.startswith(f"{kind}-"))
         return [self.processes[name] for name in names]
 
-    def front(self, name: str) -> str:
-        """Return where others reach a process: its fault proxy when it has one."""
+    def reachable_address(self, name: str) -> str:
+        """Return the address of a process, or of its fault proxy if it has one."""
         return self.proxies.get(name, self.processes[name]).address
 
     async def start_all(self) -> None:
-        """Start the platform and the upstreams, then the routers and the catalogue."""
+        """Start the store and the upstreams, then the routers and the catalogue."""
         entries = self.plan.entries or default_entries()
         self._write_file("operator.key", OPERATOR_KEY)
         self._write_file("peer.key", PEER_KEY)
@@ -109,15 +109,15 @@
                 nursery.start_soon(self.add_engine, f"engine-{number}")
             for number in range(1, self.plan.n_services + 1):
                 nursery.start_soon(self.add_service, f"service-{number}")
-        self._sort()
+        self._sort_processes()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(self.apply, *entries, wait=False))
             for number in range(1, self.plan.n_routers + 1):
                 nursery.start_soon(self.add_router, f"router-{number}")
-        self._sort()
+        self._sort_processes()
 
     async def add(self, name: str, arguments: list[str]) -> Process:
-        """Start a process, and a fault proxy before it where the plan says so."""
+        """Start a process, and a fault proxy for it if the plan has one."""
         process = Process(name, arguments, self.folder / f"{name}.log")
         self.processes[name] = process
         await process.start()
@@ -133,10 +133,15 @@
             await proxy.start()
         return process
 
-    async def add_engine(self, name: str, *more: str) -> Process:
+    async def add_engine(self, name: str, *extra_arguments: str) -> Process:
         """Start an engine and register it."""
         arguments = ["corianderlb_standins", "engine", "--instance", name]
-        arguments += ["--model", f"{MODEL}=w1", *self.plan.engine_arguments, *more]
+        arguments += [
+            "--model",
+            f"{MODEL}=w1",
+            *self.plan.engine_arguments,
+            *extra_arguments,
+        ]
         arguments += ["--weight-store", self.store.address]
         if "kv-cache-1" in self.processes:
             arguments += ["--kv-cache", self.processes["kv-cache-1"].address]
@@ -162,10 +167,10 @@
         return process
 
     async def restart(self, name: str) -> None:
-        """Start a process that has ended again, under the address that it had.
+        """Restart a process that has ended, at its previous address.
 
-        Nothing is kept over its end: an engine comes back with an empty cache and a
-        higher epoch, and the store without its objects.
+        In-memory state is lost: an engine restarts with an empty cache and a higher
+        epoch, and the store without its objects.
         """
         process = self.processes[name]
         if name.startswith("router-"):
@@ -180,14 +185,14 @@
         role: Role = Role.UPSTREAM,
         presence: Presence = Presence.LIVE,
     ) -> None:
-        """Put a process into the platform's list of instances."""
+        """Add a process to the platform's list of instances."""
         process = self.processes[name]
         record = InstanceRecord(
             instance=InstanceId(name),
             role=role,
             zone=zone_of(name),
             region=REGION,
-            address=self.front(name),
+            address=self.reachable_address(name),
             presence=presence,
             upstream=upstream,
             peer_address=process.addresses.get("peer", ""),
@@ -196,12 +201,12 @@
         (await self.http.put(url, content=to_json(record))).raise_for_status()
 
     async def unregister(self, name: str) -> None:
-        """Take a process out of the platform's list."""
+        """Remove a process from the platform's list of instances."""
         url = f"http://{self.store.address}/instances/{name}"
         (await self.http.delete(url)).raise_for_status()
 
     async def run_ctl(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
-        """Run ``corianderctl`` as its own process, whatever it ends with."""
+        """Run ``corianderctl`` in a process and return its result, also on failure."""
         command = [sys.executable, "-m", "corianderlb_ctl", *arguments]
         command += ["--store", self.store_url]
         command += ["--operator-key-file", str(self.folder / "operator.key")]
@@ -214,33 +219,35 @@
         )
 
     async def ctl(self, *arguments: str, check: bool = True) -> str:
-        """Run ``corianderctl`` and return what it printed.
+        """Run ``corianderctl`` and return its output.
 
-        With ``check=False`` a failure is no error and its message is returned too.
+        With ``check=False`` a failure does not raise, and stderr is returned too.
         """
-        done = await self.run_ctl(*arguments)
-        if check and done.returncode:
-            text = done.stdout.decode() + done.stderr.decode()
-            raise ProcessError(f"corianderctl {arguments}: {done.returncode}: {text}")
-        return done.stdout.decode() + ("" if check else done.stderr.decode())
+        completed = await self.run_ctl(*arguments)
+        if check and completed.returncode:
+            text = completed.stdout.decode() + completed.stderr.decode()
+            raise ProcessError(
+                f"corianderctl {arguments} exited with {completed.returncode}: {text}"
+            )
+        return completed.stdout.decode() + ("" if check else completed.stderr.decode())
 
     async def apply(
         self, *entries: Entry, wait: bool = True, reason: str = "set up"
     ) -> str:
-        """Have a catalogue accepted by the operators' command."""
-        plain = {"entries": [entry_to_plain(entry) for entry in entries]}
-        path = self._write_file("catalogue.yaml", yaml.safe_dump(plain))
-        words = ["apply", str(path), "--author", "ann", "--reason", reason]
-        return await self.ctl(*words, *(["--wait", "20"] if wait else []))
+        """Apply a catalogue with ``corianderctl``; return its output."""
+        document = {"entries": [entry_to_plain(entry) for entry in entries]}
+        path = self._write_file("catalogue.yaml", yaml.safe_dump(document))
+        apply_arguments = ["apply", str(path), "--author", "ann", "--reason", reason]
+        return await self.ctl(*apply_arguments, *(["--wait", "20"] if wait else []))
 
     async def wait_ready(self) -> None:
-        """Return once every router is ready."""
+        """Wait until all routers are ready."""
         with trio.fail_after(READY_TIMEOUT_S):
             for router in self.routers:
                 await self.until_ready(router)
 
     async def until_ready(self, router: Process) -> None:
-        """Return once a router is ready."""
+        """Wait until a router is ready."""
 
         async def ready() -> bool:
             try:
@@ -252,20 +259,20 @@
         await until(ready)
 
     async def fault(self, name: str, **fields: Any) -> None:
-        """Set faults of a stand-in, directly and not through its proxy."""
+        """Set the faults of a stand-in, bypassing its proxy."""
         await self._set_fault(self.processes[name].address, fields)
 
     async def proxy_fault(self, name: str, **fields: Any) -> None:
-        """Set faults of the proxy before a process."""
+        """Set the faults of a process's fault proxy."""
         await self._set_fault(self.proxies[name].addresses["control"], fields)
 
     async def counters(self, name: str) -> dict[str, Any]:
-        """Return what a stand-in counted."""
+        """Return the call counters of a stand-in."""
         url = f"http://{self.processes[name].address}/debug/calls"
         return (await self.http.get(url)).json()
 
     async def status(self, router: Process) -> dict[str, Any]:
-        """Return what a router tells operators."""
+        """Return a router's status report for operators."""
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         url = f"http://{router.address}/admin/status"
         answer = await self.http.get(url, headers=headers)
@@ -273,12 +280,12 @@
         return answer.json()
 
     async def end_all(self) -> None:
-        """End every process, by kill where asking takes too long."""
+        """Kill all processes and wait for them to exit."""
         await self.http.aclose()
-        for process in self._all():
+        for process in self._started_processes():
             process.kill_now()
-        with trio.move_on_after(END_GRACE_S):
-            for process in self._all():
+        with trio.move_on_after(SHUTDOWN_TIMEOUT_S):
+            for process in self._started_processes():
                 if process.exit_code is None:
                     await process.wait()
 
@@ -286,12 +293,12 @@
         answer = await self.http.post(f"http://{address}/debug/fault", json=fields)
         answer.raise_for_status()
 
-    def _all(self) -> list[Process]:
+    def _started_processes(self) -> list[Process]:
         started = [*self.processes.values(), *self.proxies.values()]
         return [process for process in started if process.addresses]
 
-    def _sort(self) -> None:
-        """Keep names in order, whichever process was up first."""
+    def _sort_processes(self) -> None:
+        """Sort processes by name, since they start concurrently in any order."""
         self.processes = dict(sorted(self.processes.items()))
 
     def _router_addresses(self, process: Process) -> tuple[str, str]:
@@ -321,23 +328,23 @@
 
 
 def zone_of(name: str) -> str:
-    """Return the availability zone of an instance; they go round by number."""
+    """Return the availability zone of an instance, assigned round-robin by number."""
     number = name.rsplit("-", 1)[-1]
     return ZONES[int(number) % len(ZONES)] if number.isdecimal() else ZONES[0]
 
 
 async def until(condition: Callable[[], Any], timeout_s: float = 20.0) -> None:
-    """Return once a coroutine function gives true; fail after a time."""
+    """Poll a coroutine function until it returns true; fail after a timeout."""
     with trio.fail_after(timeout_s):
         while not await condition():
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 @asynccontextmanager
 async def running_fleet(
     plan: FleetPlan | None = None, timeout_s: float = 60.0
 ) -> AsyncIterator[Fleet]:
-    """Run a fleet with its catalogue in force; end all of it within the time.
+    """Run a fleet with its catalogue in force; fail after a timeout.
 
     For example::
 
--- a/packages/corianderlb-standins/src/corianderlb_standins/fleet_plan.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet for demo, tests and measurements consists of."""
+"""Processes, settings and catalogue of a fleet for the demo, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from .builder import a_model, a_route, an_account, an_upstream
 
 REGION: Final = "pnw"
-"""The region of the imitated fleet."""
+"""Region of all instances."""
 
 ZONES: Final = ("pnw-a", "pnw-b", "pnw-c")
-"""Its availability zones; instances take them in turn."""
+"""Availability zones, assigned to instances round-robin."""
 
 MODEL: Final = "ember-llm"
-"""The model, and the upstream of its engines."""
+"""Name of the model and of the upstream of its engines."""
 
 SERVICE: Final = "yard-app"
-"""The upstream of plain services."""
+"""Name of the upstream of plain services."""
 
 KV_CACHE: Final = "prompt-cellar"
-"""The upstream that keeps KV cache."""
+"""Name of the KV cache upstream."""
 
 LARGE_ACCOUNTS: Final = ("northwest-charcoal", "cascade-pulp")
-"""Accounts with most of the traffic."""
+"""Accounts that send most of the traffic."""
 
 SMALL_ACCOUNTS: Final = (
     "alder-works",
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """Say how many processes of each kind run, and how they are set up."""
+    """Number of processes of each kind, and their configuration."""
 
     n_engines: int = 5
     n_services: int = 2
@@ -59,7 +59,7 @@
     """Kinds behind a fault proxy: ``store``, ``engine``, ``service``."""
     engine_arguments: tuple[str, ...] = ("--prefill-s", "0.02", "--token-s", "0.005")
     router_settings: Mapping[str, Any] = field(default_factory=dict)
-    """Sections that are merged into the settings of each router."""
+    """Sections merged into the settings of each router."""
     entries: tuple[Entry, ...] | None = None
     """The catalogue; None for ``default_entries``."""
 
