--- a/packages/corianderlb-standins/src/corianderlb_standins/_asgi.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/_asgi.py
@@ -1,4 +1,7 @@
-"""Serve a stand-in over HTTP with bare ASGI, which costs least per stream event."""
+"""Serve stand-ins over HTTP as plain ASGI applications.
+
+Without a web framework, each stream event costs little CPU time.
+"""
 
 from __future__ import annotations
 
@@ -22,24 +25,24 @@
 
 
 class CutConnectionError(Exception):
-    """End the answer in the middle, so that the connection is closed."""
+    """Abort an answer, which makes the server close the connection."""
 
 
 @dataclass(frozen=True)
 class Call:
-    """Hold one HTTP request and the means to answer it."""
+    """One HTTP request and the methods to answer it."""
 
     method: str
     path: str
     query: dict[str, str]
     headers: dict[str, str]
-    """Names in lower case."""
+    """Header values by lower-case name."""
     body: bytes
     receive: Any
     send: Any
 
     def plain(self) -> Any:
-        """Return the body read as JSON; an empty body is an empty map."""
+        """Return the body decoded from JSON; an empty body gives an empty map."""
         return plain_from_json(self.body) if self.body else {}
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
@@ -56,7 +59,7 @@
     async def answer(
         self, status: int, value: Any = None, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer, JSON unless the value is bytes already."""
+        """Send a complete answer; a value that is not bytes is encoded as JSON."""
         body = value if isinstance(value, bytes) else json.dumps(value).encode()
         kind = "application/octet-stream" if isinstance(value, bytes) else ""
         defaults = {
@@ -67,7 +70,7 @@
         await self.write(body, more=False)
 
     async def cut(self) -> None:
-        """Close the connection with no more than the status line of an answer."""
+        """Send status and headers, then close the connection."""
         await self.start(200, {"content-length": "1"})
         await self.write(b"")
         raise CutConnectionError
@@ -79,7 +82,7 @@
 
 
 class StandIn(ABC):
-    """Answer HTTP calls in place of a system around the router."""
+    """Base class of HTTP stand-ins for the systems around the router."""
 
     faults: Any = None
     """A frozen data class that ``POST /debug/fault`` updates field by field."""
@@ -89,15 +92,15 @@
         """Answer one call."""
 
     def counters(self) -> dict[str, Any]:
-        """Return what ``GET /debug/calls`` shows."""
+        """Return the counters for ``GET /debug/calls``."""
         return {}
 
     async def extra_addresses(self) -> dict[str, str]:
-        """Return more addresses to print besides the one served here."""
+        """Return additional addresses to print, by name."""
         return {}
 
     async def background(self) -> None:
-        """Run beside the server; override where needed."""
+        """Run background work beside the server; does nothing by default."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serve as an ASGI application."""
@@ -114,20 +117,20 @@
         if call.path == "/debug/calls":
             await call.answer(200, self.counters())
         elif call.path == "/debug/fault":
-            self.faults = updated(self.faults, call.plain())
+            self.faults = replace_fields(self.faults, call.plain())
             await call.answer(200, dataclasses.asdict(self.faults))
         else:
             await self.handle(call)
 
 
-def updated(value: T, fields: Any) -> T:
-    """Return a frozen data class with some fields replaced, checked by type."""
+def replace_fields(value: T, fields: Any) -> T:
+    """Return a copy of a data class with fields replaced and type-checked."""
     plain = {**dataclasses.asdict(value), **fields}  # type: ignore[call-overload]
     return from_plain(type(value), plain)
 
 
 async def serve_app(app: StandIn, host: str, port: int, name: str = "http") -> None:
-    """Serve until SIGTERM or SIGINT; print where once the socket listens."""
+    """Serve until SIGTERM or SIGINT; print the address once the socket listens."""
     cfg = Config()
     cfg.bind = [f"{host}:{port}"]
     cfg.keep_alive_timeout = 600
@@ -137,7 +140,7 @@
     cfg.errorlog = None
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
-        await nursery.start(_set_on_signal, stop)
+        await nursery.start(_stop_on_signal, stop)
         nursery.start_soon(app.background)
         run = partial(serve, app, cfg, shutdown_trigger=stop.wait)
         binds = await nursery.start(run)
@@ -148,12 +151,12 @@
 
 
 def print_listening(**addresses: str) -> None:
-    """Print the one line that tells the harness where the process listens."""
+    """Print the line from which the parent process reads the addresses."""
     sys.stdout.write(json.dumps({"listening": addresses}) + "\n")
     sys.stdout.flush()
 
 
-async def _set_on_signal(
+async def _stop_on_signal(
     stop: trio.Event, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/packages/corianderlb-standins/src/corianderlb_standins/batch.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/batch.py
@@ -1,7 +1,7 @@
-"""Imitate the continuous batching of an engine.
+"""Simulate the continuous batching of an engine.
 
-Prefill is one after the other, most urgent first, at a fixed time per missing piece;
-decoding gives each running job one token a step.
+Prefill handles one job at a time, most urgent first, at a fixed time per uncached
+piece. Each decoding step gives every running job one token.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True)
 class BatchCost:
-    """Hold the times and bounds of an imitated engine."""
+    """Durations and number of slots of a simulated engine."""
 
     n_slots: int = 8
     prefill_s_per_piece: float = 0.1
     token_s: float = 0.02
     base_s: float = 0.005
-    """Seconds of prefill that each job takes even when all is cached."""
+    """Prefill time of a job whose pieces are all cached."""
 
 
 @dataclass(eq=False)
 class Job:
-    """Hold one attempt's work; tokens are counted here and written elsewhere."""
+    """One attempt in the batch; counts its tokens, which the caller writes out."""
 
     attempt_id: str
     prompt: str
@@ -44,23 +44,23 @@
     changed: trio.lowlevel.ParkingLot = field(default_factory=trio.lowlevel.ParkingLot)
 
     def cancel(self) -> None:
-        """Stop the work at the next step."""
+        """Stop prefill at once, or decoding at the next step."""
         self.cancelled = True
         self.scope.cancel()
         self.changed.unpark_all()
 
 
 class Batch:
-    """Run jobs on a bounded number of slots."""
+    """Runs jobs on a bounded number of slots."""
 
     def __init__(self, cost: BatchCost, cache: PieceCache) -> None:
         self.cost = cost
         self.cache = cache
         self.slow_factor = 1.0
         self.n_recomputed = 0
-        """Pieces computed because they were not cached."""
+        """Pieces that were computed because they were not cached."""
         self.n_hit = 0
-        self.n_asked = 0
+        self.n_looked_up = 0
         self._queue: list[tuple[int, int, Job]] = []
         self._n_submitted = 0
         self._running: list[Job] = []
@@ -75,12 +75,12 @@
 
     @property
     def n_queued(self) -> int:
-        """Jobs that wait for a slot."""
+        """Jobs waiting for a slot."""
         return len(self._queue)
 
     @property
     def queued_prefill_s(self) -> float:
-        """Seconds of prefill ahead of a job that comes now with the least urgency."""
+        """Prefill time of all queued jobs."""
         jobs = [item[2] for item in self._queue]
         return sum(
             self._prefill_s(job, self.cache.count_hits(job.keys)) for job in jobs
@@ -119,7 +119,7 @@
         await trio.sleep(self._prefill_s(job, job.n_hits) * self.slow_factor)
         self.n_recomputed += len(job.keys) - job.n_hits
         self.n_hit += job.n_hits
-        self.n_asked += len(job.keys)
+        self.n_looked_up += len(job.keys)
         self.cache.add(job.keys, trio.current_time())
         job.prefilled = True
 
@@ -131,12 +131,12 @@
         while True:
             if not self._running:
                 await self._decode.park()
-            self._step()
+            self._decode_step()
             self._work.unpark_all()
             await trio.sleep(self.cost.token_s * self.slow_factor)
 
-    def _step(self) -> None:
-        """Give each running job one token and let finished ones go."""
+    def _decode_step(self) -> None:
+        """Give each running job one token and free the slots of finished jobs."""
         for job in self._running:
             job.n_made += not job.cancelled
             job.done = job.n_made >= job.n_tokens
--- a/packages/corianderlb-standins/src/corianderlb_standins/kv_cache.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/kv_cache.py
@@ -1,4 +1,4 @@
-"""Stand in for the upstream that keeps KV cache pieces outside the engines."""
+"""Stand-in for the upstream that stores KV cache pieces outside the engines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class KvCache(StandIn):
-    """Keep the keys of exported pieces, least recently stored out first."""
+    """Store of exported piece keys that evicts the least recently stored."""
 
     def __init__(self, epoch: int, capacity: int) -> None:
         self.faults = EngineFaults()
@@ -27,21 +27,21 @@
         self._calls: Counter[str] = Counter()
 
     def counters(self) -> dict[str, Any]:
-        """Return calls by path and how many pieces are held."""
+        """Return the calls by path and the number of stored pieces."""
         return {"calls": dict(self._calls), "pieces": len(self._pieces)}
 
     async def handle(self, call: Call) -> None:
-        """Answer one call of the protocol."""
+        """Answer lookups, stores and load reports."""
         headers = {header.INCARNATION: str(self._epoch)}
         self._calls[call.path] += 1
         if self.faults.freeze:
             await trio.sleep_forever()
         if call.path == "/pieces/lookup":
-            keys = _keys(call)
+            keys = _keys_in_body(call)
             held = [key.hex() for key in keys if self._pieces.count_hits([key])]
             await call.answer(200, {"held": held}, headers)
         elif call.path == "/pieces/store":
-            self._pieces.add(_keys(call), trio.current_time())
+            self._pieces.add(_keys_in_body(call), trio.current_time())
             await call.answer(200, {}, headers)
         elif call.path == "/control/load":
             report = LoadReport(epoch=self._epoch, leaving=self.faults.leaving)
@@ -50,5 +50,5 @@
             await call.answer(200, {}, headers)
 
 
-def _keys(call: Call) -> list[bytes]:
+def _keys_in_body(call: Call) -> list[bytes]:
     return [bytes.fromhex(key) for key in call.plain().get("keys", [])]
--- a/packages/corianderlb-standins/src/corianderlb_standins/service.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service some of whose calls may not be repeated."""
+"""Stand-in for a plain service, some of whose calls must not be repeated."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from corianderlb_core.load import LoadReport
 
 from ._asgi import Call, StandIn
-from .engine import EXIT_CRASH
+from .engine import CRASH_EXIT_CODE
 
 
 @dataclass(frozen=True)
 class ServiceFaults:
-    """Say what goes wrong with a service now."""
+    """Injected faults of a service."""
 
     n_affected: int = -1
-    """Calls still to be harmed; -1 for all."""
+    """Number of calls that the faults still affect; -1 for all."""
     drop_answer: bool = False
-    """Run the call and cut the connection in place of an answer."""
+    """Run the call, then close the connection without an answer."""
     hang: bool = False
     """Run the call and never answer."""
     refuse: bool = False
-    """Refuse before running, and say so."""
+    """Answer 503 without running the call, marked as not run."""
     crash: bool = False
     """Run the call, then exit."""
     slow_s: float = 0.0
@@ -40,7 +40,7 @@
 
 
 class Service(StandIn):
-    """Count executions, so that a doubled one shows."""
+    """Service that counts executions, to detect a call that ran twice."""
 
     def __init__(self, instance: str, epoch: int) -> None:
         self.faults = ServiceFaults()
@@ -52,7 +52,7 @@
         self._by_attempt: Counter[str] = Counter()
 
     def counters(self) -> dict[str, Any]:
-        """Return executions in total, by idempotency key and by attempt."""
+        """Return the number of executions: total, by idempotency key and by attempt."""
         return {
             "total": self._n_run,
             "by_key": dict(self._by_key),
@@ -60,7 +60,7 @@
         }
 
     async def handle(self, call: Call) -> None:
-        """Run any call, except the upstream protocol's own paths."""
+        """Answer control paths, and execute a call to any other path."""
         base = {header.INCARNATION: str(self._epoch)}
         if call.path == "/control/load":
             report = LoadReport(
@@ -77,18 +77,18 @@
     async def _run_counted(self, call: Call, base: dict[str, str]) -> None:
         self._n_running += 1
         try:
-            await self._run(call, base, self._take_faults())
+            await self._run(call, base, self._faults_for_next_call())
         finally:
             self._n_running -= 1
 
-    def _take_faults(self) -> ServiceFaults:
-        left = self.faults.n_affected
-        if left == 0:
+    def _faults_for_next_call(self) -> ServiceFaults:
+        n_left = self.faults.n_affected
+        if n_left == 0:
             return ServiceFaults()
-        taken = self.faults
-        if left > 0:
-            self.faults = dataclasses.replace(taken, n_affected=left - 1)
-        return taken
+        current = self.faults
+        if n_left > 0:
+            self.faults = dataclasses.replace(current, n_affected=n_left - 1)
+        return current
 
     async def _run(
         self, call: Call, base: dict[str, str], faults: ServiceFaults
@@ -101,7 +101,7 @@
             return
         value = self._execute(call, attempt_id)
         if faults.crash:
-            os._exit(EXIT_CRASH)
+            os._exit(CRASH_EXIT_CODE)
         if faults.hang:
             await trio.sleep_forever()
         if faults.drop_answer:
--- a/packages/corianderlb-standins/src/corianderlb_standins/sse.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/sse.py
@@ -1,4 +1,4 @@
-"""Write an engine's answer: the stream events of an attempt, or the whole of it."""
+"""Format an engine's answer as server-sent events or as a single body."""
 
 from __future__ import annotations
 
@@ -8,33 +8,36 @@
 
 import xxhash
 
-WORDS: Final = (
+ANSWER_WORDS: Final = (
     "ash beam char draft ember flue grate heat kiln load moist oak pine resin "
     "seal stack tar vent wood yield"
 ).split()
-"""What answers are made of."""
+"""Words that answers consist of."""
 
 CHARS_PER_TOKEN: Final = 4
-"""How prompts are counted in tokens."""
+"""Characters of a prompt that count as one token."""
 
 
-def word_at(prompt_digest: int, index: int) -> str:
+def token_at(prompt_digest: int, index: int) -> str:
     """Return the token at an index of the answer to a prompt.
 
-    The answer is a function of the prompt alone, so that a stream can go on where
-    another engine's broke off.
+    The answer depends on the prompt alone, so that an engine can continue a stream
+    that was interrupted on another engine.
     """
-    return WORDS[(prompt_digest >> (index % 40)) % len(WORDS)] + f"{index % 7} "
+    return (
+        ANSWER_WORDS[(prompt_digest >> (index % 40)) % len(ANSWER_WORDS)]
+        + f"{index % 7} "
+    )
 
 
-def digest_of(prompt: str) -> int:
-    """Return the number that the answer to a prompt is made from."""
+def digest_prompt(prompt: str) -> int:
+    """Return the hash of a prompt that determines its answer."""
     return xxhash.xxh3_64_intdigest(prompt.encode("utf-8", "surrogatepass"))
 
 
 @dataclass(frozen=True)
-class AnswerShape:
-    """Hold what the events of one attempt have in common."""
+class Completion:
+    """Answer of one attempt, formatted as events or as a single body."""
 
     attempt_id: str
     model: str
@@ -43,12 +46,12 @@
     chat: bool = True
 
     def text(self) -> str:
-        """Return the whole answer."""
-        digest = digest_of(self.prompt)
-        return "".join(word_at(digest, index) for index in range(self.n_tokens))
+        """Return the text of the answer."""
+        digest = digest_prompt(self.prompt)
+        return "".join(token_at(digest, index) for index in range(self.n_tokens))
 
     def usage(self, n_cached_pieces: int, piece_chars: int) -> dict[str, Any]:
-        """Return the usage of the attempt, counted in tokens."""
+        """Return the token usage of the attempt."""
         cached = n_cached_pieces * piece_chars // CHARS_PER_TOKEN
         prompt_tokens = -(-len(self.prompt) // CHARS_PER_TOKEN)
         return {
@@ -59,8 +62,8 @@
         }
 
     def token_event(self, index: int, digest: int) -> bytes:
-        """Return the event with one token."""
-        text = word_at(digest, index)
+        """Return the event for the token at an index."""
+        text = token_at(digest, index)
         part = f'"delta":{{"content":"{text}"}}' if self.chat else f'"text":"{text}"'
         return (
             f'id: {index}\ndata: {{"id":"{self.attempt_id}","object":"{self._kind}",'
@@ -69,7 +72,7 @@
         ).encode()
 
     def last_event(self, usage: dict[str, Any]) -> bytes:
-        """Return the event with finish reason and usage, the one after all tokens."""
+        """Return the event after all tokens, with finish reason and usage."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         choice.update({"delta": {}} if self.chat else {"text": ""})
         data = {
@@ -82,11 +85,11 @@
         return f"id: {self.n_tokens}\ndata: {json.dumps(data)}\n\n".encode()
 
     def terminal_event(self) -> bytes:
-        """Return the event that makes a stream complete."""
+        """Return the event that ends a complete stream."""
         return f"id: {self.n_tokens + 1}\ndata: [DONE]\n\n".encode()
 
-    def whole(self, usage: dict[str, Any]) -> dict[str, Any]:
-        """Return the answer to a request that did not ask for a stream."""
+    def unstreamed_answer(self, usage: dict[str, Any]) -> dict[str, Any]:
+        """Return the body that answers a request without ``stream``."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self.chat:
             choice["message"] = {"role": "assistant", "content": self.text()}
--- a/packages/corianderlb-standins/src/corianderlb_standins/weights.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/weights.py
@@ -1,4 +1,4 @@
-"""The weights and adapters that an engine stand-in holds, and orders about them."""
+"""Weights and adapters of an engine stand-in, and the orders that change them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from ._asgi import Call
 from .engine_settings import EngineSettings
 
-ALONE_LOAD_S: Final = 0.8
-"""Seconds of a load that asks no weight store."""
+LOCAL_LOAD_S: Final = 0.8
+"""Time of a load without a weight store."""
 
 
-class Orders:
-    """Take orders, refuse outdated fencing tokens when told to, and load weights."""
+class OrderHandler:
+    """Executes orders to load weights; refuses stale fencing tokens if configured."""
 
     def __init__(self, cfg: EngineSettings) -> None:
         self.weights = dict(cfg.models)
@@ -27,20 +27,20 @@
         self.role = "serving"
         self.fencing_token = 0
         self.n_loading = 0
-        self.taken: list[dict[str, Any]] = []
-        """Every order that was taken, in order, with its fencing token."""
+        self.accepted: list[dict[str, Any]] = []
+        """Accepted orders, oldest first, each with its fencing token."""
         self._cfg = cfg
         self._send, self._receive = trio.open_memory_channel[dict[str, Any]](math.inf)
 
     def resolve(self, name: str) -> tuple[str, str]:
-        """Return model and adapter that a request's model name stands for."""
+        """Return the model and adapter that a request's model name refers to."""
         if name in self.adapters and self.weights:
             adapter = adapter_label(name, self.adapters[name])
             return next(iter(self.weights)), adapter
         return name, ""
 
-    async def take(self, call: Call, headers: dict[str, str]) -> None:
-        """Take or refuse one order."""
+    async def accept(self, call: Call, headers: dict[str, str]) -> None:
+        """Accept or refuse one order."""
         token = int(call.headers.get(header.FENCING_TOKEN, "0"))
         if self._cfg.checks_fencing and token < self.fencing_token:
             refusal = {**headers, header.NOT_RUN: "true"}
@@ -48,28 +48,28 @@
             return
         self.fencing_token = max(self.fencing_token, token)
         order = {**call.plain(), "fencing_token": token}
-        self.taken.append(order)
+        self.accepted.append(order)
         self.n_loading += 1
         self._send.send_nowait(order)
         await call.answer(202, {}, headers)
 
     async def run(self) -> None:
-        """Carry out orders one after the other."""
+        """Execute accepted orders one at a time."""
         async for order in self._receive:
-            await self._carry_out(order)
+            await self._execute(order)
             self.n_loading -= 1
 
-    async def _carry_out(self, order: dict[str, Any]) -> None:
+    async def _execute(self, order: dict[str, Any]) -> None:
         if order["kind"] == "change_role":
             self.role = order["name"]
             return
-        await self._fetch()
-        held = self.adapters if order["kind"] == "load_adapter" else self.weights
-        held[order["name"]] = order["version"]
+        await self._load_weights()
+        loaded = self.adapters if order["kind"] == "load_adapter" else self.weights
+        loaded[order["name"]] = order["version"]
 
-    async def _fetch(self) -> None:
+    async def _load_weights(self) -> None:
         if not self._cfg.weight_store:
-            await trio.sleep(ALONE_LOAD_S)
+            await trio.sleep(LOCAL_LOAD_S)
             return
         url = f"http://{self._cfg.weight_store}/weights/fetch"
         async with httpx.AsyncClient(timeout=60.0) as client:
--- a/packages/corianderlb-standins/tests/test_engine_batch.py
+++ b/packages/corianderlb-standins/tests/test_engine_batch.py
@@ -1,4 +1,4 @@
-"""Test the imitated batch and cache of the engine stand-in."""
+"""Test the simulated batch and the piece cache of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def a_job(name: str, n_keys: int = 2, priority: int = 1, n_tokens: int = 2) -> Job:
-    """Return a job whose prompt has some of ``KEYS``."""
+    """Return a job whose prompt has the first ``n_keys`` of ``KEYS``."""
     return Job(name, "", KEYS[:n_keys], n_tokens, priority)
 
 
 class EngineBatchTest(TrioTestCase):
-    async def test_missing_pieces_cost_time_and_held_ones_do_not(self) -> None:
+    async def test_only_uncached_pieces_take_prefill_time(self) -> None:
         batch = Batch(BatchCost(prefill_s_per_piece=1.0, base_s=0.0), a_cache())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(batch.run)
@@ -41,25 +41,25 @@
         self.assertLess(took[1], 0.1)
         self.assertEqual((batch.n_recomputed, batch.n_hit), (2, 2))
 
-    async def test_urgent_jobs_go_first(self) -> None:
-        # The base cost keeps the ends of the jobs apart: jobs that end in one step
-        # wake their followers in any order.
+    async def test_urgent_jobs_run_first(self) -> None:
+        # The base cost makes the jobs end in different steps: the waiters of jobs that
+        # end in the same step wake in any order.
         batch = Batch(BatchCost(prefill_s_per_piece=1.0, base_s=1.0), a_cache())
         jobs = [a_job("deferrable", 1, 2), a_job("first", 1, 1), a_job("urgent", 1, 0)]
         for job in jobs:
             batch.submit(job)
         done = []
 
-        async def follow(job: Job) -> None:
+        async def wait_until_done(job: Job) -> None:
             while not job.done:
                 await job.changed.park()
             done.append(job.attempt_id)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(batch.run)
-            async with trio.open_nursery() as followers:
+            async with trio.open_nursery() as waiters:
                 for job in jobs:
-                    followers.start_soon(follow, job)
+                    waiters.start_soon(wait_until_done, job)
             nursery.cancel_scope.cancel()
         self.assertEqual(done, ["urgent", "first", "deferrable"])
 
@@ -78,7 +78,7 @@
             self.assertTrue(short.done)
             nursery.cancel_scope.cancel()
 
-    def test_least_used_pieces_are_evicted_longest_prefix_first(self) -> None:
+    def test_eviction_starts_with_the_longest_prefix(self) -> None:
         cache = a_cache(capacity=3)
         cache.add(KEYS[:3], 0.0)
         cache.add(KEYS[4:5], 1.0)
