--- a/packages/corianderlb-standins/src/corianderlb_standins/__init__.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the systems around the router; for tests and trials, never shipped."""
+"""Stand-ins for the systems around the router, for tests and benchmarks only."""
 
 from __future__ import annotations
--- a/packages/corianderlb-standins/src/corianderlb_standins/builder.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/builder.py
@@ -1,4 +1,4 @@
-"""Build test data with defaults, so that a test names only what matters to it."""
+"""Builders of test data with defaults for the fields a test does not set."""
 
 from __future__ import annotations
 
--- a/packages/corianderlb-standins/src/corianderlb_standins/fake_network.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fake_network.py
@@ -1,4 +1,4 @@
-"""A network of routers in memory for tests, with losses, delays and cuts."""
+"""In-memory network of routers for tests, with loss, delay and partitions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def a_member(name: str, epoch: int = 1) -> MemberState:
-    """Build a live router as the others see it."""
+    """Return the member state of a live router."""
     return MemberState(
         instance=InstanceId(name),
         epoch=epoch,
@@ -30,32 +30,32 @@
 
 @dataclass
 class FakeHub:
-    """Carry messages between the routers of one test.
+    """Delivers messages between the routers of one test.
 
-    For example ``hub.join("r1")`` gives the network of router ``r1``, and
-    ``hub.cut.add("r1")`` loses all that it sends or is sent.
+    For example ``hub.join("r1")`` returns the network of router ``r1``, and
+    ``hub.cut.add("r1")`` drops all messages from and to it.
     """
 
     nursery: trio.Nursery
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     loss: float = 0.0
-    """Share of the messages that are lost."""
+    """Share of messages that are lost."""
     delay_s: float = 0.001
     cut: set[str] = field(default_factory=set)
-    """Routers that no message reaches or leaves."""
+    """Routers whose messages are dropped in both directions."""
     dead: set[str] = field(default_factory=set)
-    """Routers that are out of the member list."""
+    """Routers that are removed from the member list; their messages are dropped."""
     networks: dict[str, FakeNetwork] = field(default_factory=dict)
     n_messages: int = 0
 
     def join(self, name: str, epoch: int = 1) -> FakeNetwork:
-        """Return the network as one router sees it."""
+        """Add a router and return its network."""
         network = FakeNetwork(self, a_member(name, epoch))
         self.networks[name] = network
         return network
 
-    def carry(self, sender: str, target: str, message: Message) -> bool:
-        """Take a message on its way; it may get lost."""
+    def transmit(self, sender: str, target: str, message: Message) -> bool:
+        """Send a message, which may be lost; return False if unreachable."""
         self.n_messages += 1
         unreachable = {sender, target} & (self.cut | self.dead)
         if target not in self.networks or unreachable:
@@ -72,19 +72,19 @@
 
 @dataclass
 class FakeNetwork(PeerNetwork):
-    """Be the network of one router."""
+    """Network of one router."""
 
     hub: FakeHub
     member: MemberState
     handlers: dict[type, list[Handler]] = field(default_factory=dict)
 
     def subscribe(self, cls: type, handler: Handler) -> None:
-        """Have a handler called for each arriving message of a class."""
+        """Call a handler for each received message of a class."""
         self.handlers.setdefault(cls, []).append(handler)
 
     def send(self, peer: InstanceId, message: Message) -> bool:
         """Send a message to one router."""
-        return self.hub.carry(self.member.instance, peer, message)
+        return self.hub.transmit(self.member.instance, peer, message)
 
     def broadcast(self, message: Message) -> int:
         """Send a message to all other routers."""
--- a/packages/corianderlb-standins/src/corianderlb_standins/fake_store.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fake_store.py
@@ -1,4 +1,4 @@
-"""A store in memory for tests, with the faults that the platform's service has."""
+"""In-memory object store for tests, with the faults of the platform's service."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 
 @dataclass
 class StoreFaults:
-    """Say what goes wrong with the next calls; a test sets the fields."""
+    """Faults of the next calls; tests set the fields."""
 
     unavailable: bool = False
-    """Every call is refused without effect."""
+    """Every call fails without effect."""
     delay_s: float = 0.0
-    """Every call waits this long before it takes effect."""
+    """Delay before each call takes effect."""
     n_lost_answers: int = 0
-    """So many writes take effect, and their answers are lost."""
+    """Number of writes that take effect but whose answer is lost."""
     n_lost_requests: int = 0
-    """So many writes have no effect, and nobody knows."""
+    """Number of writes that are lost; the caller gets no answer."""
     n_late_writes: int = 0
-    """So many writes seem lost, and are tried again ``late_s`` afterwards."""
+    """Number of writes that get no answer and take effect ``late_s`` later."""
     late_s: float = 1.0
     n_conflicts: int = 0
-    """So many writes conflict, as if another writer had been first."""
+    """Number of writes that fail with a conflict, as after another writer."""
 
 
 @dataclass
 class FakeStore(ObjectStore):
-    """Keep objects in memory; several routers of one test share an instance.
+    """In-memory store that the routers of one test share.
 
-    For example ``store.faults.n_lost_answers = 1`` lets the next write take effect
-    and raises ``StoreUnknownError`` to its caller.
+    For example, after ``store.faults.n_lost_answers = 1`` the next write takes effect
+    and raises ``StoreUnknownError``.
     """
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     calls: Counter[str] = field(default_factory=Counter)
-    """Calls by name, refused ones too."""
+    """Calls by name, including refused calls."""
     longest: int = 0
-    """Bytes of the longest value that was written."""
+    """Size in bytes of the longest value written."""
     before_write: Callable[[str], Awaitable[None]] | None = None
-    """Runs before each write takes effect, with its key."""
+    """Called with the key before each write takes effect."""
     objects: dict[str, StoredObject] = field(default_factory=dict)
     records: tuple[InstanceRecord, ...] = ()
-    """The list of instances; set it with ``set_instances``."""
+    """List of instances; set it with ``set_instances``."""
     nursery: trio.Nursery | None = None
-    """Runs late writes; needed for that fault alone."""
+    """Runs late writes; only needed for ``n_late_writes``."""
 
     def __post_init__(self) -> None:
         self._revision = 0
@@ -73,33 +73,33 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """Return the object, or None."""
-        await self._enter("get")
+        await self._start_call("get")
         return self.objects.get(key)
 
     async def list(self, prefix: str, after: str = "", limit: int = 1000) -> list[str]:
         """Return the keys under a prefix after a key."""
-        await self._enter("list")
+        await self._start_call("list")
         found = [key for key in self.objects if key.startswith(prefix) and key > after]
         return sorted(found)[:limit]
 
     async def create(self, key: str, value: bytes) -> str:
-        """Make the object; conflict when it exists."""
-        await self._enter("create")
+        """Create the object; raise a conflict if it exists."""
+        await self._start_call("create")
         return await self._write(key, lambda: self._create(key, value))
 
     async def update(self, key: str, value: bytes, version: str) -> str:
-        """Replace the object of that version."""
-        await self._enter("update")
+        """Replace the object if it has the given version."""
+        await self._start_call("update")
         return await self._write(key, lambda: self._update(key, value, version))
 
     async def delete(self, key: str, version: str) -> None:
-        """Take away the object of that version."""
-        await self._enter("delete")
+        """Delete the object if it has the given version."""
+        await self._start_call("delete")
         await self._write(key, lambda: self._delete(key, version))
 
     async def watch(self, prefix: str, revision: int, timeout_s: float) -> WatchResult:
-        """Wait for a change under the prefix."""
-        await self._enter("watch")
+        """Wait for a change under a prefix, up to a timeout."""
+        await self._start_call("watch")
         with trio.move_on_after(timeout_s):
             while not (keys := self._keys_after(prefix, revision)):
                 await self._changed.wait()
@@ -108,71 +108,71 @@
 
     async def instances(self) -> InstanceList:
         """Return the list of instances."""
-        await self._enter("instances")
+        await self._start_call("instances")
         return InstanceList(self._list_revision, self.records)
 
-    async def _enter(self, name: str) -> None:
+    async def _start_call(self, name: str) -> None:
         self.calls[name] += 1
         if self.faults.unavailable:
             await trio.lowlevel.checkpoint()
-            raise StoreUnavailableError("the fake store is set to be unavailable")
+            raise StoreUnavailableError("the unavailable fault is set")
         await trio.sleep(self.faults.delay_s)
 
-    async def _write(self, key: str, effect: Callable[[], str]) -> str:
+    async def _write(self, key: str, apply: Callable[[], str]) -> str:
         if self.before_write is not None:
             await self.before_write(key)
         faults = self.faults
         if faults.n_conflicts:
             faults.n_conflicts -= 1
-            raise StoreConflictError(f"{key}: injected conflict")
+            raise StoreConflictError(f"{key}: conflict from a fault")
         if faults.n_lost_requests:
             faults.n_lost_requests -= 1
-            raise StoreUnknownError(f"{key}: request lost")
+            raise StoreUnknownError(f"{key}: request lost by a fault")
         if faults.n_late_writes and self.nursery is not None:
             faults.n_late_writes -= 1
-            self.nursery.start_soon(self._write_late, effect)
-            raise StoreUnknownError(f"{key}: no answer in time")
-        version = effect()
+            self.nursery.start_soon(self._write_late, apply)
+            raise StoreUnknownError(f"{key}: write delayed by a fault")
+        version = apply()
         if faults.n_lost_answers:
             faults.n_lost_answers -= 1
-            raise StoreUnknownError(f"{key}: answer lost")
+            raise StoreUnknownError(f"{key}: answer lost by a fault")
         return version
 
-    async def _write_late(self, effect: Callable[[], str]) -> None:
+    async def _write_late(self, apply: Callable[[], str]) -> None:
         await trio.sleep(self.faults.late_s)
         try:
-            effect()
+            apply()
         except StoreConflictError:
             return
 
     def _create(self, key: str, value: bytes) -> str:
         if key in self.objects:
-            raise StoreConflictError(f"{key} exists")
+            raise StoreConflictError(f"{key} already exists")
         return self._put(key, value)
 
     def _update(self, key: str, value: bytes, version: str) -> str:
-        self._check(key, version)
+        self._check_version(key, version)
         return self._put(key, value)
 
     def _delete(self, key: str, version: str) -> str:
-        self._check(key, version)
+        self._check_version(key, version)
         del self.objects[key]
-        self._note(key)
+        self._record_change(key)
         return ""
 
-    def _check(self, key: str, version: str) -> None:
-        held = self.objects.get(key)
-        if held is None or held.version != version:
+    def _check_version(self, key: str, version: str) -> None:
+        current = self.objects.get(key)
+        if current is None or current.version != version:
             raise StoreConflictError(f"{key} is not at version {version}")
 
     def _put(self, key: str, value: bytes) -> str:
-        self._note(key)
+        self._record_change(key)
         self.longest = max(self.longest, len(value))
         version = str(self._revision)
         self.objects[key] = StoredObject(key, value, version, self._revision)
         return version
 
-    def _note(self, key: str) -> None:
+    def _record_change(self, key: str) -> None:
         self._revision += 1
         self._changed_at[key] = self._revision
         self._changed.set()
--- a/packages/corianderlb-standins/src/corianderlb_standins/fault_proxy.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy between two processes that cuts, freezes, delays and drops.
+"""TCP proxy that injects connection faults between two processes.
 
-Faults are set by ``POST /debug/fault`` on its control port. Each concerns bytes and
-connections alone; the proxy knows no protocol.
+Faults are set by ``POST /debug/fault`` on the control port. They act on bytes and
+connections; the proxy does not parse any protocol.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 CHUNK_BYTES: Final = 65536
 
 CONNECT_TIMEOUT_S: Final = 2.0
-"""Longest wait for the target to accept."""
+"""Timeout for connecting to the target."""
 
 
 @dataclass(frozen=True)
 class ProxyFaults:
-    """Say what the proxy does to connections now."""
+    """Injected faults of the proxy."""
 
     refuse: bool = False
-    """Listen no more, so that new connections are refused."""
+    """Stop listening, so that new connections are refused."""
     delay_s: float = 0.0
-    """Delay of each chunk, both ways."""
+    """Delay of each chunk in both directions."""
     drop_replies: int = 0
-    """Connections still to be closed in place of their next reply; -1 for all."""
+    """Number of further replies to drop by closing the connection; -1 for all."""
     cut_now: bool = False
-    """Close all open connections; falls back to false by itself."""
+    """Close all open connections once; resets to false."""
     freeze_now: bool = False
-    """Let all open connections go silent for good; new ones work."""
+    """Stop forwarding on all open connections for good; resets to false."""
     blackhole: bool = False
-    """Let new connections open and carry nothing."""
+    """Accept new connections without forwarding any data."""
 
 
-class _Link:
-    """One connection through the proxy."""
+class _Connection:
+    """Connection of a client through the proxy to the target."""
 
     def __init__(self, client: trio.SocketStream, server: trio.SocketStream) -> None:
         self.client = client
@@ -51,13 +51,13 @@
 
 
 class FaultProxy(StandIn):
-    """Forward connections to a target, or fail to in the way that was asked for."""
+    """Forwards connections to a target, subject to the injected faults."""
 
     def __init__(self, target: str) -> None:
         self.faults = ProxyFaults()
         self._host, port = target.rsplit(":", 1)
         self._port = int(port)
-        self._links: set[_Link] = set()
+        self._connections: set[_Connection] = set()
         self._calls: Counter[str] = Counter()
         self._listen_host = ""
         self._listen_port = 0
@@ -65,8 +65,8 @@
         self._opened = trio.Event()
 
     def counters(self) -> dict[str, Any]:
-        """Return how many connections were opened, cut, frozen and dropped."""
-        return {"calls": dict(self._calls), "open": len(self._links)}
+        """Return the number of connections opened, cut, frozen, dropped and open."""
+        return {"calls": dict(self._calls), "open": len(self._connections)}
 
     async def _route(self, call: Call) -> None:
         await super()._route(call)
@@ -74,40 +74,40 @@
             self._cut_all()
         if self.faults.freeze_now:
             self._freeze_all()
-        self._clear_momentary()
+        self._clear_one_shot_faults()
         if self.faults.refuse:
             self._listening.cancel()
 
     async def handle(self, call: Call) -> None:
-        """Answer the health path of the control port."""
+        """Answer any other call to the control port with 200."""
         await call.answer(200, {})
 
-    def _clear_momentary(self) -> None:
+    def _clear_one_shot_faults(self) -> None:
         self.faults = dataclasses.replace(self.faults, cut_now=False, freeze_now=False)
 
     def _cut_all(self) -> None:
-        for link in self._links:
+        for conn in self._connections:
             self._calls["cut"] += 1
-            link.scope.cancel()
+            conn.scope.cancel()
 
     def _freeze_all(self) -> None:
-        for link in self._links:
+        for conn in self._connections:
             self._calls["frozen"] += 1
-            link.frozen = True
+            conn.frozen = True
 
     async def run(self, host: str, port: int, control_port: int) -> None:
-        """Forward connections until SIGTERM; print both ports."""
+        """Forward connections until SIGTERM or SIGINT; print both addresses."""
         self._listen_host = host
         self._listen_port = port
         await serve_app(self, host, control_port, name="control")
 
     async def extra_addresses(self) -> dict[str, str]:
-        """Return where the proxy forwards from, once it listens."""
+        """Return the address of the proxy once it listens."""
         await self._opened.wait()
         return {"http": f"{self._listen_host}:{self._listen_port}"}
 
     async def background(self) -> None:
-        """Forward connections, reopening the same port after a refusal."""
+        """Forward connections; reopen the same port when ``refuse`` is reset."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._serve_once(nursery)
@@ -115,7 +115,7 @@
                     await trio.sleep(0.01)
 
     async def _serve_once(self, nursery: trio.Nursery) -> None:
-        listeners = await _open(self._listen_host, self._listen_port)
+        listeners = await _open_listeners(self._listen_host, self._listen_port)
         self._listen_port = listeners[0].socket.getsockname()[1]
         self._opened.set()
         with trio.CancelScope() as self._listening:
@@ -129,53 +129,55 @@
         except (OSError, trio.TooSlowError):
             await client.aclose()
             return
-        link = _Link(client, server)
-        link.frozen = self.faults.blackhole
-        self._links.add(link)
+        conn = _Connection(client, server)
+        conn.frozen = self.faults.blackhole
+        self._connections.add(conn)
         async with client, server:
-            with link.scope:
-                await self._forward(link)
-        self._links.discard(link)
+            with conn.scope:
+                await self._forward(conn)
+        self._connections.discard(conn)
 
-    async def _forward(self, link: _Link) -> None:
+    async def _forward(self, conn: _Connection) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._pump, link, link.client, link.server)
-            nursery.start_soon(self._pump, link, link.server, link.client)
+            nursery.start_soon(self._pump, conn, conn.client, conn.server)
+            nursery.start_soon(self._pump, conn, conn.server, conn.client)
 
     async def _pump(
-        self, link: _Link, source: trio.SocketStream, sink: trio.SocketStream
+        self, conn: _Connection, source: trio.SocketStream, sink: trio.SocketStream
     ) -> None:
         try:
             while data := await source.receive_some(CHUNK_BYTES):
-                await self._pass(link, sink, data)
-            await self._pass(link, sink, b"")
+                await self._relay(conn, sink, data)
+            await self._relay(conn, sink, b"")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        if not link.frozen:
-            link.scope.cancel()
+        if not conn.frozen:
+            conn.scope.cancel()
 
-    async def _pass(self, link: _Link, sink: trio.SocketStream, data: bytes) -> None:
+    async def _relay(
+        self, conn: _Connection, sink: trio.SocketStream, data: bytes
+    ) -> None:
         if self.faults.delay_s:
             await trio.sleep(self.faults.delay_s)
-        if link.frozen:
-            # Neither end hears of the other again, not even of its close.
+        if conn.frozen:
+            # Both ends stay open: neither receives data or a close from the other.
             await trio.sleep_forever()
-        if data and sink is link.client and self._drops_reply():
-            link.scope.cancel()
+        if data and sink is conn.client and self._should_drop_reply():
+            conn.scope.cancel()
         elif data:
             await sink.send_all(data)
 
-    def _drops_reply(self) -> bool:
-        left = self.faults.drop_replies
-        if left == 0:
+    def _should_drop_reply(self) -> bool:
+        n_left = self.faults.drop_replies
+        if n_left == 0:
             return False
-        if left > 0:
-            self.faults = dataclasses.replace(self.faults, drop_replies=left - 1)
+        if n_left > 0:
+            self.faults = dataclasses.replace(self.faults, drop_replies=n_left - 1)
         self._calls["dropped"] += 1
         return True
 
 
-async def _open(host: str, port: int) -> list[trio.SocketListener]:
+async def _open_listeners(host: str, port: int) -> list[trio.SocketListener]:
     while True:
         try:
             return await trio.open_tcp_listeners(port, host=host)
--- a/packages/corianderlb-standins/src/corianderlb_standins/load_client.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/load_client.py
@@ -1,4 +1,4 @@
-"""Call a router as an ordinary HTTP client does, and keep what came back."""
+"""HTTP client of a router that records the answers."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from .fleet_plan import LARGE_ACCOUNTS, MODEL, account_key
 
 DONE: Final = "[DONE]"
-"""Data of the event that makes a stream complete."""
+"""Data of the event that ends a complete stream."""
 
 
 @dataclass
 class StreamAnswer:
-    """Hold one streamed answer as its caller got it."""
+    """Streamed answer as received by the client."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     text: str = ""
     indices: list[int] = field(default_factory=list)
-    """The ids of the events, in the order in which they came."""
+    """Event ids in the order received."""
     complete: bool = False
-    """Whether the terminal event came."""
+    """Whether the terminal event was received."""
     error: dict[str, Any] = field(default_factory=dict)
-    """The error that a refusal or an error event carries."""
+    """Error of a refusal, an error event or the transport."""
     usage: dict[str, Any] = field(default_factory=dict)
     first_token_s: float = 0.0
-    """Seconds from sending to the first token."""
+    """Time from sending the request to the first event."""
     total_s: float = 0.0
 
     @property
     def cached_tokens(self) -> int:
-        """Prompt tokens that the engine did not compute again."""
+        """Prompt tokens that the engine read from its cache."""
         return int(self.usage.get("prompt_tokens_details", {}).get("cached_tokens", 0))
 
     @property
     def in_order(self) -> bool:
-        """Whether the ids count from 0 without gap or repeat."""
+        """Whether the event ids count from 0 without gap or repeat."""
         return self.indices == list(range(len(self.indices)))
 
 
 class LoadClient:
-    """Send requests of client accounts to one router."""
+    """Sends requests of client accounts to one router."""
 
     def __init__(self, address: str, timeout_s: float = 30.0) -> None:
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=200)
         self._http = httpx.AsyncClient(
             timeout=timeout_s, limits=limits, trust_env=False
@@ -76,7 +76,7 @@
     ) -> StreamAnswer:
         """Send a chat prompt and return its streamed answer.
 
-        A broken connection leaves an answer that is not complete.
+        If the connection breaks, the answer is incomplete and has a transport error.
         """
         answer = StreamAnswer()
         body = {
@@ -89,13 +89,13 @@
         try:
             async with self._http.stream(
                 "POST",
-                f"{self._base}/v1/chat/completions",
+                f"{self._base_url}/v1/chat/completions",
                 json=body,
                 headers={**authorization(account), **(headers or {})},
             ) as response:
                 answer.status = response.status_code
                 answer.headers = dict(response.headers)
-                await _read(response, answer, started)
+                await _read_answer(response, answer, started)
         except httpx.HTTPError as exc:
             answer.error = answer.error or {"transport": repr(exc)}
         answer.total_s = trio.current_time() - started
@@ -111,26 +111,27 @@
         headers: dict[str, str] | None = None,
     ) -> httpx.Response:
         """Send a call to a plain service; ``path`` starts with the route's name."""
-        more = {header.IDEMPOTENCY_KEY: key} if key else {}
+        key_headers = {header.IDEMPOTENCY_KEY: key} if key else {}
         return await self._http.request(
             method,
-            f"{self._base}/services/{path}",
+            f"{self._base_url}/services/{path}",
             json=body,
-            headers={**authorization(account), **more, **(headers or {})},
+            headers={**authorization(account), **key_headers, **(headers or {})},
         )
 
 
 def authorization(account: str) -> dict[str, str]:
-    """Return the header with the key of an account."""
+    """Return the authorization header of an account."""
     return {"authorization": f"Bearer {account_key(account)}"}
 
 
 def nested_prompt(
     customer: str, site: str, batch: str, n_pieces: tuple[int, int, int] = (2, 1, 1)
 ) -> str:
-    """Return a prompt whose prefixes nest in three levels, in pieces of 4,000.
+    """Return a prompt with three nested prefixes, in sections of 4,000 characters.
 
-    The first piece is a little short, since a chat's role is part of the text.
+    The role of a chat message is part of the prompt text, so the sections are offset
+    from the pieces by its length.
     """
     parts = []
     for name, n in zip((customer, site, batch), n_pieces, strict=True):
@@ -138,7 +139,9 @@
     return "".join(parts)
 
 
-async def _read(response: httpx.Response, answer: StreamAnswer, started: float) -> None:
+async def _read_answer(
+    response: httpx.Response, answer: StreamAnswer, started: float
+) -> None:
     if response.status_code != 200:
         body = await response.aread()
         answer.error = json.loads(body).get("error", {})
@@ -149,10 +152,10 @@
         elif line.startswith("data: "):
             if not answer.first_token_s:
                 answer.first_token_s = trio.current_time() - started
-            _take_data(line[6:], answer)
+            _apply_event_data(line[6:], answer)
 
 
-def _take_data(data: str, answer: StreamAnswer) -> None:
+def _apply_event_data(data: str, answer: StreamAnswer) -> None:
     if data == DONE:
         answer.complete = True
         return
--- a/packages/corianderlb-standins/src/corianderlb_standins/memory_transport.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/memory_transport.py
@@ -1,4 +1,4 @@
-"""Links between routers of one test in memory, which can be cut or go silent."""
+"""In-memory links between the routers of one test, with injected frame loss."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 )
 
 DIAL_TIMEOUT_S: Final = 3.0
-"""Seconds until dialling an address that does not answer fails."""
+"""Timeout for dialling an unresponsive address."""
 
-QUEUE: Final = 1024
-"""Frames on their way on one link at most."""
+MAX_QUEUED_FRAMES: Final = 1024
+"""Maximum frames in flight in one direction of a link."""
 
 
 class MemoryFabric:
-    """Join the transports of one test; ``passes`` decides which way frames get.
+    """Connects the transports of one test.
 
-    While ``passes(source, target)`` is False, frames that way are lost without a sign
-    and dialling times out, as with a path that has lost track of its connections.
+    While ``passes(source, target)`` is False, frames in that direction are silently
+    dropped and dialling times out, as with a firewall that lost its connection state.
     """
 
     def __init__(self) -> None:
@@ -38,58 +38,58 @@
         self.links: list[MemoryLink] = []
 
     def transport(self, address: str) -> MemoryTransport:
-        """Return the transport of a router with that address."""
+        """Return the transport of the router with an address."""
         return MemoryTransport(self, address)
 
 
 class MemoryLink(PeerLink):
-    """Be one end of a link; ``silent`` loses what is sent from this end."""
+    """One end of a link; ``silent`` drops all frames sent from this end."""
 
     def __init__(self, fabric: MemoryFabric, source: str, target: str) -> None:
         self.source = source
         self.target = target
         self.silent = False
         self._fabric = fabric
-        self._send, self._receive = trio.open_memory_channel[bytes](QUEUE)
-        self._other: MemoryLink | None = None
+        self._send, self._receive = trio.open_memory_channel[bytes](MAX_QUEUED_FRAMES)
+        self._opposite_end: MemoryLink | None = None
         self.is_open = True
-        """Whether neither end was closed."""
+        """Whether this end has not been closed."""
 
-    def join(self, other: MemoryLink) -> None:
-        """Make two ends one link."""
-        self._other, other._other = other, self
+    def pair_with(self, other: MemoryLink) -> None:
+        """Connect this end to the opposite end of the link."""
+        self._opposite_end, other._opposite_end = other, self
 
     async def send(self, frame: bytes) -> None:
-        """Put a frame into the other end's queue, or lose it."""
+        """Put a frame into the opposite end's queue, or drop it."""
         if self.silent or not self._fabric.passes(self.source, self.target):
             await trio.lowlevel.checkpoint()
             return
         try:
-            await self._other._send.send(frame)
+            await self._opposite_end._send.send(frame)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
             raise LinkClosedError("closed") from exc
 
     async def receive(self) -> bytes:
-        """Return the next frame from the other end."""
+        """Return the next frame from the opposite end."""
         try:
             frame = await self._receive.receive()
         except (trio.EndOfChannel, trio.ClosedResourceError) as exc:
             raise LinkClosedError("closed") from exc
         if len(frame) > MAX_MESSAGE_BYTES:
-            raise FrameRefusedError("frame above the limit")
+            raise FrameRefusedError(f"frame exceeds {MAX_MESSAGE_BYTES} bytes")
         return frame
 
     async def aclose(self) -> None:
-        """Close this end; the other learns of it unless the way is lost."""
+        """Close this end, and the opposite end unless frames to it are dropped."""
         self._receive.close()
         self.is_open = False
         if not self.silent and self._fabric.passes(self.source, self.target):
-            self._other._send.close()
+            self._opposite_end._send.close()
         await trio.lowlevel.checkpoint()
 
 
 class MemoryTransport(PeerTransport):
-    """Make links over a fabric."""
+    """Transport of one router over a ``MemoryFabric``."""
 
     def __init__(self, fabric: MemoryFabric, address: str) -> None:
         self._fabric = fabric
@@ -99,32 +99,32 @@
     async def dial(self, address: str) -> AsyncIterator[PeerLink]:
         """Open a link to another transport of the fabric."""
         fabric = self._fabric
-        there_and_back = fabric.passes(self._address, address) and fabric.passes(
+        is_reachable = fabric.passes(self._address, address) and fabric.passes(
             address, self._address
         )
-        if not there_and_back:
+        if not is_reachable:
             await trio.sleep(DIAL_TIMEOUT_S)
-            raise LinkClosedError("no answer")
+            raise LinkClosedError(f"{address} does not answer")
         if address not in fabric.handlers:
             await trio.lowlevel.checkpoint()
-            raise LinkClosedError("refused")
-        mine = MemoryLink(fabric, self._address, address)
-        theirs = MemoryLink(fabric, address, self._address)
-        mine.join(theirs)
-        fabric.links += [mine, theirs]
-        fabric.nurseries[address].start_soon(self._handle, address, theirs)
+            raise LinkClosedError(f"{address} refused the connection")
+        local_end = MemoryLink(fabric, self._address, address)
+        remote_end = MemoryLink(fabric, address, self._address)
+        local_end.pair_with(remote_end)
+        fabric.links += [local_end, remote_end]
+        fabric.nurseries[address].start_soon(self._handle, address, remote_end)
         try:
-            yield mine
+            yield local_end
         finally:
             with trio.CancelScope(shield=True):
-                await mine.aclose()
+                await local_end.aclose()
 
     async def serve(
         self,
         handler: LinkHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Take links until cancelled."""
+        """Accept links until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 self._fabric.nurseries[self._address] = nursery
--- a/packages/corianderlb-standins/src/corianderlb_standins/open_admission.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/open_admission.py
@@ -1,4 +1,4 @@
-"""Admission without limits, for trials of the other parts."""
+"""Admission without limits, for tests of other components."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from corianderlb_router.interface import Admission, Slot
 
 
-class OpenSlot(Slot):
-    """Stand for a place where places are not counted."""
+class UnlimitedSlot(Slot):
+    """Slot of an admission without limits."""
 
     def release(self, used_tokens: int) -> None:
         """Do nothing."""
 
 
 class OpenAdmission(Admission):
-    """Admit every request at once."""
+    """Admission that admits every request at once."""
 
     async def admit(self, facts: RequestFacts) -> Slot | Refusal:
-        """Return a slot."""
-        return OpenSlot()
+        """Return a slot that is not counted."""
+        return UnlimitedSlot()
--- a/packages/corianderlb-standins/src/corianderlb_standins/process.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/process.py
@@ -1,4 +1,4 @@
-"""Run one process of a fleet and act on it: kill, freeze, continue, terminate."""
+"""Start one process of a fleet, send it signals and read its log."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 from corianderlb_core.error import CorianderError
 
 START_TIMEOUT_S: Final = 20.0
-"""Longest wait for the line that tells where a process listens."""
+"""Timeout for the line with the addresses of a started process."""
 
 LOG_TAIL_CHARS: Final = 2000
-"""How much of a process's log an error shows."""
+"""Length of the end of the log that errors include."""
 
 MAX_LINE_BYTES: Final = 65536
 
 
 class ProcessError(CorianderError):
-    """Signal a process that did not start or ended by itself."""
+    """Raised when a process is not started or fails to start."""
 
 
 class Process:
-    """Hold one child process and where it listens.
+    """Child process and the addresses it listens on.
 
-    ``start`` may be awaited again after a kill: the process then comes back with the
-    same arguments, and on the same port when ``keep_port`` was called before.
+    After a kill, ``start`` restarts the process with the same arguments, and on the
+    same port if ``keep_port`` was called before.
     """
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
         self.name = name
         self.arguments = arguments
         self.addresses: dict[str, str] = {}
-        """Address by purpose, ``http`` and, where there are any, more."""
+        """Addresses by purpose; ``http`` is always present."""
         self._log = log
         self._process: trio.Process | None = None
 
     @property
     def address(self) -> str:
-        """Where the process serves."""
+        """HTTP address of the process."""
         return self.addresses["http"]
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """Process id."""
         return self._running().pid
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, or None while the process runs; negative for a signal."""
+        """Exit code, or None while the process runs; negative for a signal."""
         return self._process.poll() if self._process else None
 
     async def start(self) -> None:
-        """Start the process and wait until it says where it listens."""
+        """Start the process and wait until it prints its addresses."""
         with self._log.open("ab") as log:
             self._process = await trio.lowlevel.open_process(
                 [sys.executable, "-m", *self.arguments],
@@ -76,34 +76,34 @@
         raise ProcessError(f"{self.name} did not start: {self.log_tail()}")
 
     def keep_port(self) -> None:
-        """Have the next start listen on the port of this one."""
+        """Use the current port for the next start."""
         if "--port" not in self.arguments:
             self.arguments += ["--port", self.address.rsplit(":", 1)[1]]
 
     async def kill(self) -> None:
-        """End the process at once, as a crash does."""
+        """Kill the process, as a crash would, and wait until it has ended."""
         self.kill_now()
         await self.wait()
 
     def kill_now(self) -> None:
-        """Send the kill without waiting for the end."""
+        """Send SIGKILL without waiting for the process to end."""
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
 
     def freeze(self) -> None:
-        """Pause the process; its connections stay open and silent."""
+        """Suspend the process with SIGSTOP; its connections stay open."""
         self._running().send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process with SIGCONT."""
         self._running().send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to end in order."""
+        """Request a graceful shutdown with SIGTERM."""
         self._running().send_signal(signal.SIGTERM)
 
     def reload(self) -> None:
-        """Tell the process that its settings may have changed."""
+        """Request a reload of the settings with SIGHUP."""
         self._running().send_signal(signal.SIGHUP)
 
     async def wait(self) -> int:
@@ -111,7 +111,7 @@
         return await self._running().wait()
 
     def log_tail(self) -> str:
-        """Return the end of what the process wrote to its log."""
+        """Return the end of the process's log."""
         text = self._log.read_text(errors="replace") if self._log.exists() else ""
         return text[-LOG_TAIL_CHARS:]
 
@@ -133,9 +133,9 @@
 
 
 def child_environment() -> dict[str, str]:
-    """Return an environment in which children find the packages that this one uses."""
+    """Return an environment with this process's import path for child processes."""
     paths = os.pathsep.join(path for path in sys.path if path)
     environment = {**os.environ, "PYTHONPATH": paths}
-    # Each start would compile the packages anew, which is most of its time.
+    # Without bytecode files each start would compile all packages again.
     environment.pop("PYTHONDONTWRITEBYTECODE", None)
     return environment
--- a/packages/corianderlb-standins/src/corianderlb_standins/store.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/store.py
@@ -1,7 +1,7 @@
-"""Stand in for the platform's object service, in memory.
+"""In-memory stand-in for the platform's object service.
 
-It speaks ``docs/reference/store-protocol.md``. Besides, it holds the weight store that
-engines load from, since that is shared and rate limited too.
+It implements ``docs/reference/store-protocol.md``. It also serves as the weight store
+that engines load from, which slows down when many engines load at once.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from ._asgi import Call, StandIn
 
 MAX_VALUE_BYTES: Final = 1_000_000
-"""Longest value of an object."""
+"""Maximum size of an object."""
 
-WEIGHTS_LOAD_S: Final = 0.8
-"""Seconds that a load takes while no more than ``FREE_LOADS`` run at once."""
+BASE_LOAD_S: Final = 0.8
+"""Time of a weight load while at most ``MAX_FULL_SPEED_LOADS`` are in progress."""
 
-FREE_LOADS: Final = 2
-"""Loads at once that do not slow each other down."""
+MAX_FULL_SPEED_LOADS: Final = 2
+"""Number of concurrent loads above which each load slows down."""
 
 OBJECTS: Final = "/objects/"
 INSTANCES: Final = "/instances"
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True)
 class StoreFaults:
-    """Say what goes wrong with the store now."""
+    """Injected faults of the store."""
 
     down: str = ""
     """Empty, ``503``, or ``cut`` to close connections without an answer."""
     slow_s: float = 0.0
-    """Delay of each call, before it takes effect."""
+    """Delay before each call takes effect."""
     lose_answers: int = 0
-    """Writes still to come that take effect and whose answer never arrives."""
+    """Number of further writes that take effect but whose answer is lost."""
     lose_how: str = "cut"
-    """``cut`` closes the connection, ``hang`` stays silent, ``503`` says so."""
+    """What replaces a lost answer: ``cut`` (close), ``hang`` (no answer) or ``503``."""
     rate_per_s: float = 0.0
-    """Calls a second before 429; 0 for no limit."""
+    """Calls per second above which calls get 429; 0 for no limit."""
     instances_lag_s: float = 0.0
-    """How late the list of instances is."""
+    """Age of the list of instances that is returned."""
 
 
 @dataclass(frozen=True)
@@ -60,14 +60,14 @@
 
 
 @dataclass(frozen=True)
-class _ListAt:
+class _InstanceListVersion:
     at: float
     revision: int
     records: dict[str, InstanceRecord]
 
 
 class Store(StandIn):
-    """Keep objects with versions, tell watchers, and list instances late."""
+    """Store of versioned objects with watches and a delayed list of instances."""
 
     def __init__(self, faults: StoreFaults | None = None) -> None:
         self.faults = faults or StoreFaults()
@@ -75,19 +75,19 @@
         self._revision = 0
         self._changes: list[tuple[int, str]] = []
         self._changed = trio.lowlevel.ParkingLot()
-        self._lists = [_ListAt(0.0, 0, {})]
+        self._list_versions = [_InstanceListVersion(0.0, 0, {})]
         self._calls: Counter[str] = Counter()
         self._tokens = 1.0
-        self._filled_at = 0.0
-        self._n_loading = 0
-        self._max_loading = 0
+        self._refilled_at = 0.0
+        self._n_weight_loads = 0
+        self._max_weight_loads = 0
 
     def counters(self) -> dict[str, Any]:
-        """Return calls by kind, and the most weight loads that ran at once."""
-        return {"calls": dict(self._calls), "max_weight_loads": self._max_loading}
+        """Return calls by kind, and the maximum number of concurrent weight loads."""
+        return {"calls": dict(self._calls), "max_weight_loads": self._max_weight_loads}
 
     async def handle(self, call: Call) -> None:
-        """Answer one call of the protocol."""
+        """Answer one call of the store protocol."""
         if call.path == "/health":
             await call.answer(200, {})
             return
@@ -95,10 +95,10 @@
             await self._fetch_weights(call)
             return
         if call.path.startswith(f"{INSTANCES}/"):
-            # Done by the platform itself, so no fault of the service holds it up.
+            # The platform itself makes this call, so faults do not apply.
             await self._set_instance(call)
             return
-        if await self._refused(call):
+        if await self._answer_fault(call):
             return
         if call.path == INSTANCES:
             await self._list_instances(call)
@@ -111,7 +111,8 @@
         else:
             await call.answer(404, {"error": "no such path"})
 
-    async def _refused(self, call: Call) -> bool:
+    async def _answer_fault(self, call: Call) -> bool:
+        """Answer or cut a call that a fault concerns; return True if answered."""
         self._calls["all"] += 1
         if self.faults.slow_s:
             await trio.sleep(self.faults.slow_s)
@@ -131,9 +132,9 @@
     def _take_token(self) -> bool:
         now = trio.current_time()
         rate = self.faults.rate_per_s
-        gained = (now - self._filled_at) * rate
+        gained = (now - self._refilled_at) * rate
         self._tokens = min(rate, self._tokens + gained)
-        self._filled_at = now
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -160,20 +161,20 @@
 
     async def _put(self, call: Call, key: str) -> None:
         found = self._objects.get(key)
-        creates = call.headers.get("if-none-match") == "*"
-        self._calls["create" if creates else "update"] += 1
+        is_create = call.headers.get("if-none-match") == "*"
+        self._calls["create" if is_create else "update"] += 1
         if len(call.body) > MAX_VALUE_BYTES:
             await call.answer(413, {"error": f"at most {MAX_VALUE_BYTES} bytes"})
             return
-        if not creates and "if-match" not in call.headers:
+        if not is_create and "if-match" not in call.headers:
             await call.answer(400, {"error": "give If-None-Match: * or If-Match"})
             return
-        if creates != (found is None) or not _matches(call, found):
+        if is_create != (found is None) or not _matches(call, found):
             await call.answer(412, {"error": "condition does not hold"})
             return
-        version = self._note_change(key)
+        version = self._record_change(key)
         self._objects[key] = _Object(call.body, version)
-        await self._answer_write(call, 201 if creates else 200, version)
+        await self._answer_write(call, 201 if is_create else 200, version)
 
     async def _delete(self, call: Call, key: str) -> None:
         self._calls["delete"] += 1
@@ -182,16 +183,16 @@
             await call.answer(412, {"error": "condition does not hold"})
             return
         del self._objects[key]
-        await self._answer_write(call, 204, self._note_change(key))
+        await self._answer_write(call, 204, self._record_change(key))
 
     async def _answer_write(self, call: Call, status: int, version: int) -> None:
-        """Answer a write that took effect, unless its answer is to be lost."""
+        """Answer a write that took effect, unless a fault drops the answer."""
         if self.faults.lose_answers > 0:
-            await self._lose_answer(call)
+            await self._drop_answer(call)
             return
         await call.answer(status, b"", {"etag": f'"{version}"'})
 
-    async def _lose_answer(self, call: Call) -> None:
+    async def _drop_answer(self, call: Call) -> None:
         left = self.faults.lose_answers - 1
         how = self.faults.lose_how
         self.faults = dataclasses.replace(self.faults, lose_answers=left)
@@ -203,7 +204,7 @@
         else:
             await call.cut()
 
-    def _note_change(self, key: str) -> int:
+    def _record_change(self, key: str) -> int:
         self._revision += 1
         self._changes.append((self._revision, key))
         self._changed.unpark_all()
@@ -237,37 +238,43 @@
     async def _list_instances(self, call: Call) -> None:
         self._calls["instances"] += 1
         horizon = trio.current_time() - self.faults.instances_lag_s
-        seen = [item for item in self._lists if item.at <= horizon] or self._lists[:1]
-        records = [to_plain(record) for record in seen[-1].records.values()]
-        await call.answer(200, {"revision": seen[-1].revision, "instances": records})
+        visible = [
+            item for item in self._list_versions if item.at <= horizon
+        ] or self._list_versions[:1]
+        records = [to_plain(record) for record in visible[-1].records.values()]
+        await call.answer(200, {"revision": visible[-1].revision, "instances": records})
 
     async def _set_instance(self, call: Call) -> None:
         name = call.path.removeprefix(f"{INSTANCES}/")
-        newest = self._lists[-1]
+        newest = self._list_versions[-1]
         records = dict(newest.records)
         if call.method == "DELETE":
             records.pop(name, None)
         else:
             records[name] = from_plain(InstanceRecord, call.plain())
         now = trio.current_time()
-        self._lists.append(_ListAt(now, newest.revision + 1, records))
+        self._list_versions.append(
+            _InstanceListVersion(now, newest.revision + 1, records)
+        )
         await call.answer(200, {})
 
     async def _fetch_weights(self, call: Call) -> None:
         self._calls["weights"] += 1
-        self._n_loading += 1
-        self._max_loading = max(self._max_loading, self._n_loading)
+        self._n_weight_loads += 1
+        self._max_weight_loads = max(self._max_weight_loads, self._n_weight_loads)
         try:
-            left = WEIGHTS_LOAD_S
+            left = BASE_LOAD_S
             while left > 0:
                 step = min(left, 0.05)
-                await trio.sleep(step * max(1.0, self._n_loading / FREE_LOADS))
+                await trio.sleep(
+                    step * max(1.0, self._n_weight_loads / MAX_FULL_SPEED_LOADS)
+                )
                 left -= step
         finally:
-            self._n_loading -= 1
+            self._n_weight_loads -= 1
         await call.answer(200, {})
 
 
 def _matches(call: Call, found: _Object | None) -> bool:
-    wanted = call.headers.get("if-match")
-    return wanted is None or (found is not None and found.etag == wanted)
+    expected_etag = call.headers.get("if-match")
+    return expected_etag is None or (found is not None and found.etag == expected_etag)
--- a/packages/corianderlb-standins/src/corianderlb_standins/trio_case.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/trio_case.py
@@ -1,4 +1,4 @@
-"""Run ``async`` test methods under trio, on a clock that tests pause and advance."""
+"""Test case classes that run ``async`` test methods under trio."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class TrioTestCase(unittest.TestCase):
-    """Let test methods be coroutines on trio's mock clock.
+    """Test case whose ``async`` test methods run on trio's mock clock.
 
-    The clock stands still while any task can run and jumps to the next timeout when
-    all are waiting, so that a test of a ten second timeout takes no time at all.
+    The clock stands still while a task can run and jumps to the next timeout when all
+    tasks wait, so that tests of long timeouts finish at once.
     """
 
     autojump: float = 0.0
-    """Real seconds of idleness before the clock jumps; infinity to jump by hand."""
+    """Idle seconds before the clock jumps; infinity for manual ``clock.jump``."""
 
     def __init_subclass__(cls) -> None:
         super().__init_subclass__()
         for name, method in list(vars(cls).items()):
             if name.startswith("test") and inspect.iscoroutinefunction(method):
-                setattr(cls, name, _under_trio(method))
+                setattr(cls, name, _run_under_trio(method))
 
     clock: trio.testing.MockClock
-    """The clock of the running test; ``jump`` moves it by hand."""
+    """Clock of the running test; ``jump`` advances it."""
 
 
 class RealTimeTestCase(TrioTestCase):
-    """Let test methods be coroutines on the real clock, for separate processes."""
+    """Test case on the real clock, for tests that start processes."""
 
 
-def _under_trio(method: Callable[..., Any]) -> Callable[..., None]:
+def _run_under_trio(method: Callable[..., Any]) -> Callable[..., None]:
     @functools.wraps(method)
     def run(self: TrioTestCase) -> None:
         if isinstance(self, RealTimeTestCase):
--- a/packages/corianderlb-standins/tests/test_store_stand_in.py
+++ b/packages/corianderlb-standins/tests/test_store_stand_in.py
@@ -1,4 +1,4 @@
-"""Test that the store stand-in keeps its protocol and fails as it is told to."""
+"""Test the protocol and the injected faults of the store stand-in."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             self.assertEqual(stale.status_code, 412)
             self.assertEqual((await client.get(KEY)).content, b"c")
 
-    async def test_lost_answer_took_effect(self) -> None:
+    async def test_write_with_lost_answer_takes_effect(self) -> None:
         async with connect(Store()) as client:
             await client.post("/debug/fault", json={"lose_answers": 1})
             await client.post("/debug/fault", json={"lose_how": "503"})
@@ -44,7 +44,7 @@
             calls = (await client.get("/debug/calls")).json()["calls"]
             self.assertEqual((calls["create"], calls["lost"]), (1, 1))
 
-    async def test_watch_returns_at_the_first_change(self) -> None:
+    async def test_watch_returns_after_the_first_change(self) -> None:
         store = Store()
         async with connect(store) as client, trio.open_nursery() as nursery:
             seen = []
@@ -70,7 +70,7 @@
             found = (await client.get("/instances")).json()
             self.assertEqual(found["instances"][0]["instance"], "e")
 
-    async def test_more_than_two_weight_loads_slow_each_other(self) -> None:
+    async def test_more_than_two_weight_loads_slow_down(self) -> None:
         store = Store()
         async with connect(store) as client:
             started = trio.current_time()
