--- a/packages/corianderlb-core/src/corianderlb_core/allowance.py
+++ b/packages/corianderlb-core/src/corianderlb_core/allowance.py
@@ -4,10 +4,10 @@
 With ``n`` live routers, of which ``k`` have fallen back while the primary serves the
 others, at most ``limit * (1 + k / n)`` is granted in total, and at most the limit when
 all or none of them reach the primary. A new primary does not know the grants of the old
-one, so for ``valid_s`` after a change up to twice the limit can be granted. Over a time
-``T`` the admitted requests are at most that rate times ``T``, plus ``burst_s`` of it
-for each primary and one request for each router. Tokens may exceed the limit by one
-request for each router.
+one, so for ``valid_s`` after a change up to twice the limit can be granted. In an
+interval ``T`` at most ``rate * (T + burst_s * n_primaries) + n`` requests are admitted,
+where ``rate`` is the bound above and ``n_primaries`` counts the primaries of the
+interval. Tokens may exceed the limit by one request for each router.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 MIN_RETRY_AFTER_S: Final = 0.2
 """Minimum Retry-After for a caller over its limit."""
 
-INITIAL_HOLD_S: Final = 1.0
-"""Initial estimate of how long a request of the entry runs."""
+INITIAL_RUN_TIME_S: Final = 1.0
+"""Initial estimate of the run time of a request."""
 
-HOLD_SMOOTHING: Final = 0.1
+RUN_TIME_SMOOTHING: Final = 0.1
 """Weight of the newest request in the moving average of the run time."""
 
 ONE_REQUEST: Final = 1.0 - 1e-9
@@ -88,7 +88,7 @@
     _unanswered: dict[int, float] = field(default_factory=dict)
     _demand: _Demand = field(default_factory=_Demand)
     _share: _EvenShare | None = None
-    _hold_s: float = INITIAL_HOLD_S
+    _mean_run_time_s: float = INITIAL_RUN_TIME_S
     _primary_wait_s: float = 0.0
     _n_slots_requested: int = 0
     _n_live: int = 1
@@ -96,7 +96,7 @@
     def reserve(self, tokens: float, now: float) -> ResultCode | None:
         """Take a slot and the estimated tokens, or return the refusal's code."""
         self.used_at = now
-        self._expire(now)
+        self._update_balance(now)
         code = self._shortage(tokens, now)
         if code is not None:
             self._demand.n_short += 1
@@ -114,7 +114,7 @@
         self.n_running -= 1
         self.tokens -= used - reserved
         self._demand.tokens += used - reserved
-        self._hold_s += HOLD_SMOOTHING * (held_s - self._hold_s)
+        self._mean_run_time_s += RUN_TIME_SMOOTHING * (held_s - self._mean_run_time_s)
         self.used_at = now
 
     def refund(self, tokens: float) -> None:
@@ -142,7 +142,11 @@
         return running_out or self.n_running >= max(1, self.leased)
 
     def request(self, now: float) -> GrantRequest:
-        """Return a grant request for twice the use since the last one."""
+        """Return a grant request and start a new period of demand.
+
+        It requests twice the use since the last one plus the shortfall, less the
+        balance.
+        """
         if self._unanswered_since is None:
             self._unanswered_since = now
         self.number += 1
@@ -150,8 +154,8 @@
         self._unanswered.pop(self.number - MAX_UNANSWERED, None)
         n_slots = self._slots_to_request()
         self._n_slots_requested = 0 if self.limits.concurrent is None else n_slots
-        # Returned before the primary receives the request, so that no slot is used by
-        # two routers.
+        # Slots are given up before the primary receives the request, so that no slot is
+        # used by two routers.
         self.leased = min(self.leased, n_slots)
         demand, self._demand = self._demand, _Demand()
         requests = 2 * demand.requests + demand.n_short - max(0.0, self.requests)
@@ -178,7 +182,7 @@
         requested_at = self._unanswered.pop(grant.number, None)
         if requested_at is None or requested_at + grant.valid_s <= now:
             return
-        self._expire(now)
+        self._update_balance(now)
         self.requests += grant.requests
         self.tokens += grant.tokens
         self._primary_wait_s = grant.wait_s
@@ -190,7 +194,7 @@
             self._unanswered_since = None
             self.has_fallen_back = False
             self.answered = grant.number
-            # Only the answer to the newest request is comparable with its slots.
+            # ``_n_slots_requested`` belongs to the newest request.
             self.is_scarce |= grant.concurrent < self._n_slots_requested
             self.leased = grant.concurrent
             self._valid_until = requested_at + grant.valid_s
@@ -215,7 +219,9 @@
     def retry_after_s(self, code: ResultCode) -> float:
         """Return the expected time until there is capacity again."""
         if code is ResultCode.TOO_MANY_CONCURRENT:
-            return max(MIN_RETRY_AFTER_S, self._hold_s / max(1, self.n_running))
+            return max(
+                MIN_RETRY_AFTER_S, self._mean_run_time_s / max(1, self.n_running)
+            )
         if not self.has_fallen_back or self._share is None:
             return max(MIN_RETRY_AFTER_S, self._primary_wait_s)
         return max(MIN_RETRY_AFTER_S, self._share.wait_s(self))
@@ -244,7 +250,8 @@
         """Return whether no tokens are left or some are owed.
 
         A request may use more tokens than are left, since its estimate can exceed the
-        bucket of the entry; the difference is owed. Service calls use no tokens.
+        bucket of the entry; the difference is owed. Service calls use no tokens
+        and pass at a balance of zero.
         """
         return self.tokens < 0.0 or (tokens > 0 and self.tokens == 0.0)
 
@@ -254,11 +261,12 @@
             return max(leased, self._share.concurrent)
         return leased
 
-    def _expire(self, now: float) -> None:
+    def _update_balance(self, now: float) -> None:
+        """Refill from the even share, or drop what is left of an expired grant."""
         if self.has_fallen_back and self._share is not None:
             self._share.refill(self, now)
         elif now >= self._valid_until:
-            # An unspent chunk expires. Kept, it would admit a burst on top of later
+            # The rest of a grant expires. Kept, it would admit a burst on top of later
             # grants.
             self.requests = min(self.requests, 0.0)
             self.tokens = min(self.tokens, 0.0)
--- a/packages/corianderlb-core/src/corianderlb_core/default_placement.py
+++ b/packages/corianderlb-core/src/corianderlb_core/default_placement.py
@@ -1,7 +1,7 @@
 """The default policy: the least estimated TTFT, weighted by the cost of recomputation.
 
 For each request it scores a few instances: the primaries of its prefixes, the spill
-targets, those reported to hold the longest prefix, and two at random. The estimate is
+targets, those reported to hold the longest prefixes, and two at random. The estimate is
 the queue wait plus the time to compute the pieces that are probably missing.
 """
 
@@ -25,16 +25,17 @@
 from .settings import PlacementSettings
 
 MAX_FULL_SCORING: Final = 6
-"""Up to this many instances are all scored; of more only a selection."""
+"""Number of instances up to which all are scored; in larger sets, a selection."""
 
 N_HINT_HOLDERS: Final = 3
-"""Holders of the longest known prefix that are scored."""
+"""Maximum number of instances that are scored because of hints."""
 
 PRIMARY_HIT_PRIOR: Final = 0.95
 """Probability that a primary holds a prefix for which there is no hint."""
 
 WARMUP_S: Final = 60.0
-"""Time after a change during which a new primary is assumed to have an empty cache."""
+"""Time for which the cache of a new or restarted primary is assumed to hold only what
+hints report."""
 
 TIE_MARGIN_S: Final = 0.004
 """Scores that differ by less count as equal."""
@@ -85,7 +86,7 @@
     ) -> None:
         super().__init__(cfg, rng, zone)
         self._hints = HintTable()
-        self._heat: dict[str, HotPrefixTracker] = {}
+        self._hot_prefixes: dict[str, HotPrefixTracker] = {}
         self._import_hit_rates: dict[str, ImportHitRate] = {}
         self._finders: dict[str, _Finders] = {}
 
@@ -150,10 +151,10 @@
         self._hot_prefixes_of(upstream).merge(hot, now)
 
     def _hot_prefixes_of(self, upstream: str) -> HotPrefixTracker:
-        heat = self._heat.get(upstream)
-        if heat is None:
-            heat = self._heat[upstream] = HotPrefixTracker()
-        return heat
+        hot_prefixes = self._hot_prefixes.get(upstream)
+        if hot_prefixes is None:
+            hot_prefixes = self._hot_prefixes[upstream] = HotPrefixTracker()
+        return hot_prefixes
 
     def _options(self, query: PlacementQuery) -> list[RankedInstance]:
         """Return the instances to score."""
@@ -183,11 +184,11 @@
     def _find(
         self, query: PlacementQuery, finder: PrimaryFinder
     ) -> list[RankedInstance]:
-        heat = self._hot_prefixes_of(query.instances.upstream)
+        hot_prefixes = self._hot_prefixes_of(query.instances.upstream)
         n_instances = len(query.instances.instances)
         return finder.find(
             query.facts.prefix_keys,
-            lambda key: heat.width(key, n_instances, query.now),
+            lambda key: hot_prefixes.width(key, n_instances, query.now),
         )
 
     def _finders_of(self, query: PlacementQuery) -> _Finders:
@@ -248,7 +249,10 @@
         )
 
     def _hinted(self, query: PlacementQuery) -> list[InstanceLoad]:
-        """Return holders of the longest prefix that any usable incarnation holds."""
+        """Return hinted holders of the prompt's prefixes, longest prefix first.
+
+        At most ``N_HINT_HOLDERS`` are returned.
+        """
         found: list[InstanceLoad] = []
         for key in reversed(query.facts.prefix_keys):
             for incarnation in self._hints.holders(key):
@@ -261,7 +265,9 @@
 
     def _score(self, query: PlacementQuery, ranked: RankedInstance) -> _Scored:
         facts, load, cost = query.facts, ranked.load, query.cost
-        hits = n_expected_hits = self._expected_hits(query, ranked, PRIMARY_HIT_PRIOR)
+        n_warm_hits = n_expected_hits = self._expected_hits(
+            query, ranked, PRIMARY_HIT_PRIOR
+        )
         if not self._is_warm(query, ranked):
             n_expected_hits = self._expected_hits(query, ranked, 0.0)
         n_pieces = len(facts.prefix_keys)
@@ -271,7 +277,7 @@
         work_s = cost.work_s(n_missing) - gain_s
         # A primary keeps its score while its cache fills, so that its prompts stay
         # together.
-        recompute_s = min(work_s, cost.work_s(n_pieces - hits))
+        recompute_s = min(work_s, cost.work_s(n_pieces - n_warm_hits))
         score = wait_s + recompute_s * RECOMPUTE_WEIGHT[facts.service_class]
         if load.zone != self.zone:
             score += self.cfg.zone_penalty_s
@@ -301,15 +307,15 @@
         incarnation = ranked.load.incarnation
         chance, hits = 1.0, 0.0
         for depth, key in enumerate(query.facts.prefix_keys):
-            prior = primary_prior if depth < ranked.n_pieces else 0.0
+            probability = primary_prior if depth < ranked.n_pieces else 0.0
             reported_at = self._hints.holders(key).get(incarnation)
             if reported_at is not None:
                 confidence = self._hints.confidence(incarnation, reported_at, query.now)
-                prior = max(confidence, prior / 2)
-            if not prior:
+                probability = max(confidence, probability / 2)
+            if not probability:
                 break
             # A piece is usable only if all pieces before it are held.
-            chance = min(chance, prior)
+            chance = min(chance, probability)
             hits += chance
         return hits
 
--- a/packages/corianderlb-core/src/corianderlb_core/engine_choice.py
+++ b/packages/corianderlb-core/src/corianderlb_core/engine_choice.py
@@ -31,12 +31,13 @@
 """Penalty for an engine whose weights are outdated, in seconds of TTFT."""
 
 OUTDATED_WEIGHTS_GRACE_S: Final = 1.3
-"""Age of newer weights from which the penalty applies. It is slightly below the 1.5 s
-for which callers accept answers of the replaced weights."""
+"""Time from the announcement of newer weights to the estimated first token, from which
+the penalty applies. It is below the 1.5 s for which callers accept answers of the
+replaced weights."""
 
 WEIGHTS_LIMIT_MARGIN_S: Final = 2.0
-"""Margin before ``weights_limit_s``: the prompt is prefilled before the answer begins,
-and the estimate may be exceeded."""
+"""Margin subtracted from ``weights_limit_s``. It covers the prefill, which the check
+leaves out, and errors of the estimated wait."""
 
 OTHER_ZONE_PENALTY_S: Final = 0.01
 """Penalty for an engine in another availability zone: latency and transfer charges."""
@@ -46,10 +47,10 @@
 routers without shared state send the same shared parts to one engine."""
 
 N_SAMPLED: Final = 5
-"""Randomly sampled engines that one request evaluates, besides the primary of its parts
-and up to as many engines that hold them. Load reports of other routers are delayed: if
-each router evaluated all engines, all would send their requests to the same idle
-one."""
+"""Number of engines sampled at random for one request. Also evaluated are the primary
+of its parts and up to ``N_SAMPLED`` engines that hold parts of the prompt. Load reports
+of other routers are delayed: if each router evaluated all engines, all would send their
+requests to the same idle one."""
 
 MAX_TTFT_SHARE: Final = 0.8
 """Share of the objective that the estimated TTFT may take; estimates are often
@@ -78,7 +79,7 @@
 
     prompt: Prompt
     isolation_key: str
-    """Isolation key: the account's name if it is isolated, else empty."""
+    """Name of the client account if it is isolated, else empty."""
     objective_left_s: float
     kv_capacity: int
     kv_cache_address: str = ""
@@ -113,7 +114,8 @@
     in_time: bool
     """Whether the first token is expected within the objective."""
     is_first_prefill: bool = False
-    """Whether it prefills shared parts that no engine is known to hold."""
+    """Whether it prefills shared parts, and no other engine with the same weights
+    version is known to hold or to be prefilling more of them."""
     n_held: int = 0
     """Tokens of engine memory that the request occupies."""
     transfer_s: float = 0.0
@@ -238,8 +240,8 @@
     n_fetched = max(0, source.n_held - n_here)
     n_recomputed = n_shared - n_here - n_fetched
     n_missing = query.prompt.n_prompt - n_here - n_fetched
-    n_held = query.prompt.n_prompt
-    wait_s = estimator.wait_s(query.now, n_held)
+    n_occupied = query.prompt.n_prompt
+    wait_s = estimator.wait_s(query.now, n_occupied)
     transfer_s = n_fetched * query.token_move_s
     if not source.is_same_zone:
         transfer_s *= CROSS_ZONE_TRANSFER_FACTOR
@@ -259,10 +261,10 @@
     )
     address = source.address
     if not address and query.kv_cache_address and n_shared:
-        # A router that has just started has an empty index; a miss at the store is
+        # A router that has just started has an empty index; a miss at the KV cache is
         # cheap.
         address = query.kv_cache_address
-    is_uncached = n_recomputed > 0 and not is_held_elsewhere
+    is_first_prefill = n_recomputed > 0 and not is_held_elsewhere
     choice = EngineChoice(
         view,
         scope,
@@ -271,8 +273,8 @@
         n_missing,
         address,
         in_time,
-        is_uncached,
-        n_held,
+        is_first_prefill,
+        n_occupied,
         transfer_s,
     )
     return cost, choice
--- a/packages/corianderlb-core/src/corianderlb_core/membership.py
+++ b/packages/corianderlb-core/src/corianderlb_core/membership.py
@@ -19,7 +19,7 @@
 from .message import MemberState, Suspicion
 
 MAX_GAP_S: Final = 3.0
-"""Default for the longest interval between two checks that is not a pause."""
+"""Default interval between two checks above which the process counts as paused."""
 
 FORGET_AFTER_S: Final = 600.0
 """Time for which a suspected router that is not in the platform's list is retried."""
@@ -40,7 +40,9 @@
 
 
 @dataclass
-class _Known:
+class _KnownRouter:
+    """Last known state of another router, and whether it is suspected."""
+
     state: MemberState
     is_known_from_peers: bool = True
     """False for a router known only from the platform's list."""
@@ -64,7 +66,7 @@
         self._own = own
         self._suspect_after_s = suspect_after_s
         self._max_gap_s = max_gap_s
-        self._known: dict[InstanceId, _Known] = {}
+        self._known: dict[InstanceId, _KnownRouter] = {}
         self._listed: dict[InstanceId, InstanceRecord] = {}
         self._list_revision = -1
         self._checked_at: float | None = None
@@ -153,7 +155,7 @@
             return self._merge_own_state(state)
         known = self._known.get(state.instance)
         if known is None or not known.is_known_from_peers:
-            self._known[state.instance] = _Known(state)
+            self._known[state.instance] = _KnownRouter(state)
             self._schedule_announcement(state.instance)
             return MergeResult.CHANGED
         before = known.state
@@ -279,13 +281,13 @@
             if known.is_known_from_peers and name not in names
         ]
         names += rng.sample(others, min(n_random, len(others)))
-        return self._split(names)
+        return self._states_and_suspicions(names)
 
     def full_state(self) -> tuple[list[MemberState], list[Suspicion]]:
         """Return the full state, for a link that has just opened."""
-        return self._split([self._own.instance, *self._known])
+        return self._states_and_suspicions([self._own.instance, *self._known])
 
-    def _split(
+    def _states_and_suspicions(
         self, names: Sequence[InstanceId]
     ) -> tuple[list[MemberState], list[Suspicion]]:
         states: list[MemberState] = []
@@ -300,7 +302,7 @@
                     suspected.append(_suspicion(known.state))
         return states, suspected
 
-    def _suspect(self, known: _Known, now: float) -> None:
+    def _suspect(self, known: _KnownRouter, now: float) -> None:
         if known.suspected_since is None:
             known.suspected_since = now
             if known.is_known_from_peers:
@@ -317,7 +319,7 @@
         for name, record in self._listed.items():
             known = self._known.get(name)
             if known is None:
-                self._known[name] = _Known(
+                self._known[name] = _KnownRouter(
                     _state_of_record(record), is_known_from_peers=False
                 )
             elif not known.is_known_from_peers:
@@ -333,7 +335,11 @@
                 self._n_sends_left.pop(name, None)
 
     def _merge_own_state(self, state: MemberState) -> MergeResult:
-        """Exceed a later heartbeat of this incarnation that peers announce."""
+        """Merge an announcement of a peer about this router.
+
+        A newer epoch is recorded. A later heartbeat of this incarnation is exceeded, so
+        that peers accept the next one.
+        """
         if state.epoch > self._own.epoch:
             self.newer_own_epoch = state.epoch
         if _sequence(state) <= _sequence(self._own) or state.epoch != self._own.epoch:
@@ -362,7 +368,7 @@
 
 
 def _is_membership_change(state: MemberState, before: MemberState) -> bool:
-    """Return whether a state differs in more than the heartbeat, and is announced."""
+    """Return whether the epoch or the presence differs, which is announced to peers."""
     return state.epoch != before.epoch or state.presence is not before.presence
 
 
--- a/packages/corianderlb-core/src/corianderlb_core/prefill_estimate.py
+++ b/packages/corianderlb-core/src/corianderlb_core/prefill_estimate.py
@@ -12,11 +12,11 @@
 from typing import Final
 
 INITIAL_TOKENS_PER_S: Final = 40_000.0
-"""Assumed prefill rate of an engine before its first observation."""
+"""Assumed prefill rate of an engine before the first observation."""
 
 OVERHEAD_S: Final = 0.03
-"""TTFT beside prefill: one decoding step, the start of the request and the network
-round trip."""
+"""TTFT apart from the prefill: one decoding step, the start of the request and the
+network round trip."""
 
 LEARN_RATE: Final = 0.1
 """Weight of one observation in the ratio of an engine's rate to the common rate."""
@@ -74,11 +74,13 @@
 
 
 @dataclass
-class _Prefill:
+class _SentRequest:
+    """A request that was sent to the engine and has not left it."""
+
     n_tokens: int
     n_ahead: float
     """Tokens queued before it when it was sent."""
-    started_at: float
+    sent_at: float
     n_held: int
     """Tokens of engine memory that it occupies."""
 
@@ -99,8 +101,8 @@
 class CommonEstimates:
     """Estimates that the engines of one upstream have in common.
 
-    In a large fleet a router seldom observes any single engine. Sharing the
-    observations shows within about a second that prefill slows down on all engines.
+    In a large fleet a router seldom observes any single engine. Combined, the
+    observations show early when prefill slows down on all engines.
     """
 
     log_tokens_per_s: float = math.log(INITIAL_TOKENS_PER_S)
@@ -129,8 +131,8 @@
         """Logarithm of this engine's rate relative to the common one."""
         self._transfers_until = -math.inf
         """When the transfers to the engine that this router requested complete."""
-        self._prefills: dict[str, _Prefill] = {}
-        self._running: dict[str, _Prefill] = {}
+        self._prefills: dict[str, _SentRequest] = {}
+        self._running: dict[str, _SentRequest] = {}
         self.peers: dict[str, PeerWork] = {}
         """By router."""
 
@@ -170,7 +172,9 @@
 
         It has ``n_tokens`` to prefill and occupies ``n_held`` tokens of engine memory.
         """
-        self._prefills[key] = _Prefill(n_tokens, self._tokens_ahead(now), now, n_held)
+        self._prefills[key] = _SentRequest(
+            n_tokens, self._tokens_ahead(now), now, n_held
+        )
 
     def first_token(self, key: str, now: float) -> None:
         """Record that a request was prefilled and update the learned rate."""
@@ -179,7 +183,7 @@
             return
         self._running[key] = prefill
         n_tokens = prefill.n_tokens + prefill.n_ahead
-        took_s = now - prefill.started_at - OVERHEAD_S
+        took_s = now - prefill.sent_at - OVERHEAD_S
         if prefill.n_tokens < MIN_LEARN_TOKENS or took_s <= 0:
             return
         observed = min(MAX_TOKENS_PER_S, max(MIN_TOKENS_PER_S, n_tokens / took_s))
@@ -195,7 +199,7 @@
         self._prefills.pop(key, None)
         run = self._running.pop(key, None)
         if run is not None:
-            self._common.record_run(run.n_held, now - run.started_at)
+            self._common.record_run(run.n_held, now - run.sent_at)
 
     def wait_s(self, now: float, n_held: int = 0) -> float:
         """Return the estimated wait until the prefill of a new request begins.
@@ -242,7 +246,7 @@
         n_ahead = 0.0
         for prefill in self._prefills.values():
             # Requests are prefilled in order, so subtract the part that is done by now.
-            age_s = now - prefill.started_at
+            age_s = now - prefill.sent_at
             n_prefilled = max(0.0, age_s * self.tokens_per_s - prefill.n_ahead)
             n_ahead += max(0.0, prefill.n_tokens - n_prefilled)
         return n_ahead + self._peer_tokens_ahead(now)
--- a/packages/corianderlb-core/src/corianderlb_core/weights_rollout.py
+++ b/packages/corianderlb-core/src/corianderlb_core/weights_rollout.py
@@ -42,7 +42,7 @@
 serve newer weights, before the remaining runs are moved."""
 
 MAX_FINISHING_SHARE: Final = 1 / 3
-"""Largest fraction of the engines that may be finishing runs of replaced weights. When
+"""Largest fraction of the engines that may be emptying without a fallback. When
 new versions arrive faster than runs complete, the rest must serve new requests."""
 
 
@@ -53,7 +53,8 @@
     RESTING = "resting"
     """No new requests; runs complete here while others serve newer weights."""
     EMPTYING = "emptying"
-    """No new requests; runs move to engines with the same weights version."""
+    """No new requests; runs move to engines with the same weights version. If there
+    is none, they complete here."""
     CLEARING = "clearing"
     """Like EMPTYING, but resumable runs move to engines with newer weights."""
     LOADING = "loading"
@@ -81,13 +82,13 @@
     is_silent: bool = False
     """Whether it is unresponsive with requests in flight, and so may be lost."""
     emptying_s: float | None = None
-    """Seconds since emptying began; None while the engine serves."""
+    """Seconds since emptying began; None while it is not being emptied."""
     resting_s: float | None = None
     """Seconds since the engine began to rest; None while it does not."""
 
     @property
     def is_available(self) -> bool:
-        """Whether the engine can take requests."""
+        """Whether the engine can take runs that are moved from another engine."""
         return not (self.is_loading or self.is_lost) and self.emptying_s is None
 
     @property
@@ -178,15 +179,15 @@
     def plan(self) -> RolloutPlan:
         orders = [engine for engine in self._outdated if self._should_load(engine)]
         orders = orders[: self._n_free_loads]
-        waiting = [
+        emptying = [
             engine
             for engine in self._outdated
             if engine.emptying_s is not None
             and engine not in orders
             and not engine.is_lost
         ]
-        finishing = [engine for engine in waiting if not self._has_fallback(engine)]
-        n_moving = len(waiting) - len(finishing)
+        finishing = [engine for engine in emptying if not self._has_fallback(engine)]
+        n_moving = len(emptying) - len(finishing)
         n_to_empty = self._n_free_loads - len(orders) - n_moving
         if self._n_newest > self._n_required:
             # Enough engines have the newest weights. A run moved now would restart on
@@ -197,7 +198,7 @@
         n_excess = len(finishing) - int(MAX_FINISHING_SHARE * len(self._engines))
         return RolloutPlan(
             orders=_instances(orders),
-            emptying=_instances([*waiting, *newly_emptying]),
+            emptying=_instances([*emptying, *newly_emptying]),
             clearing=_instances(finishing[: max(0, n_excess)]),
             resting=_instances(resting),
         )
@@ -250,7 +251,7 @@
         for engine in orders:
             n_fallbacks[engine.version] -= engine.is_available
             n_serving -= engine.is_serving
-        leaving_versions = {
+        emptying_versions = {
             engine.version for engine in self._outdated if engine.emptying_s is not None
         }
         selected: list[EngineWeights] = []
@@ -258,7 +259,7 @@
             if not engine.is_available or engine in orders:
                 continue
             is_last = n_fallbacks[engine.version] == 1
-            if is_last and engine.version in leaving_versions:
+            if is_last and engine.version in emptying_versions:
                 continue
             is_past_deadline = (
                 engine.resting_s is not None and engine.resting_s >= MAX_RESTING_S
@@ -270,7 +271,7 @@
             if engine.is_serving and n_serving - 1 < self._n_required:
                 continue
             selected.append(engine)
-            leaving_versions.add(engine.version)
+            emptying_versions.add(engine.version)
             n_fallbacks[engine.version] -= 1
             n_serving -= engine.is_serving
         return selected
--- a/packages/corianderlb-router/src/corianderlb_router/completion_run.py
+++ b/packages/corianderlb-router/src/corianderlb_router/completion_run.py
@@ -189,7 +189,7 @@
     ) -> None:
         response = await self._parts.client.open(outbound, timeouts)
         try:
-            self._observe(attempt, epoch_of(response))
+            self._observe_epoch(attempt, epoch_of(response))
             self._answered = True
             if not response.is_success:
                 message = f"{outbound.address}: status {response.status_code}"
@@ -209,8 +209,8 @@
         self, attempt: Attempt, exc: RefusedError, resume: bool
     ) -> AttemptFailure:
         """Distinguish a refusal from a resume that reached another incarnation."""
-        new_life = resume and exc.epoch != 0 and exc.epoch != self._epoch
-        if not new_life:
+        is_other_incarnation = resume and exc.epoch != 0 and exc.epoch != self._epoch
+        if not is_other_incarnation:
             return failure_of(exc)
         crashed = AttemptFailure(FailureKind.CRASHED, str(exc))
         instance = attempt.candidate.incarnation.instance
@@ -225,7 +225,7 @@
         ttft_s = trio.current_time() - facts.arrived_at
         self._parts.metrics.first_token(ttft_s, facts.service_class)
 
-    def _observe(self, attempt: Attempt, epoch: int) -> None:
+    def _observe_epoch(self, attempt: Attempt, epoch: int) -> None:
         if epoch and epoch != self._epoch:
             self._epoch = epoch
             instance = attempt.candidate.incarnation.instance
@@ -279,15 +279,16 @@
         refusal = self._parts.quarantine.check(self._req.facts)
         if refusal is None:
             return
-        code = self._broken_code(ResultCode.UPSTREAM_FAILED)
+        code = self._code_once_started(ResultCode.UPSTREAM_FAILED)
         raise RequestRefusedError(Refusal(code, refusal.detail, refusal.retry_after_s))
 
     def _give_up_refusal(self, action: GiveUp, failure: AttemptFailure) -> Refusal:
-        code = self._broken_code(action.code)
+        code = self._code_once_started(action.code)
         detail = f"The last attempt failed: {failure.kind.value}."
         return Refusal(code, detail, action.retry_after_s)
 
-    def _broken_code(self, code: ResultCode) -> ResultCode:
+    def _code_once_started(self, code: ResultCode) -> ResultCode:
+        """Replace a result code if the answer to the caller has already started."""
         return ResultCode.STREAM_BROKEN if self._caller.started else code
 
     async def _abandon(self, attempt: Attempt) -> None:
@@ -330,7 +331,10 @@
 
 
 def _combine_failures(first: AttemptFailure, second: AttemptFailure) -> AttemptFailure:
-    """Combine two consecutive failures without progress between them."""
+    """Return the failure to report for two in a row without progress between them.
+
+    Two broken connections in a row count as a crash.
+    """
     if second.kind is FailureKind.CRASHED:
         return second
     if first.kind is second.kind is FailureKind.BROKEN:
--- a/packages/corianderlb-router/src/corianderlb_router/forward_run.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_run.py
@@ -44,7 +44,7 @@
 """Interval at which a waiting request retries placement, besides on state changes."""
 
 MIN_RETRY_AFTER_S: Final = 0.2
-"""Lower bound for the retry-after time of a refusal: two peer updates."""
+"""Lower bound for the retry-after time of a refusal."""
 
 MAX_RETRY_AFTER_SHARE: Final = 1 / 3
 """Upper bound for the retry-after time, as a share of the time until the deadline."""
@@ -67,6 +67,8 @@
     instance: str
     outcome: str
     took_ms: int
+    """Duration of a completed or abandoned attempt. For a failed or moved attempt, the
+    time since the request arrived."""
     estimate_ms: int
     """Time to the first byte that was estimated at the time of sending."""
     detail: str = ""
@@ -98,11 +100,12 @@
         self._avoid: set[IncarnationKey] = set()
         self._n_sent = 0
         self._n_runs = 0
+        """Runs counted against the route's ``max_attempts``."""
         self._n_not_run = 0
         self._n_unreached = 0
         self._last_failure: ServerFailureError | None = None
         self._earlier_may_have_run = False
-        """Whether a completed attempt may have run the request."""
+        """Whether an attempt that has ended may have run the request."""
         self._current_attempt: ForwardAttempt | None = None
         self._next_placement: Placement | None = None
         """Placement of a moved run that continues from a copy of its KV cache."""
@@ -183,11 +186,11 @@
                 await changed.wait()
 
     def _objective_left_s(self, now: float) -> float:
-        """Return the time within which the next first byte is due.
+        """Return the time left until the first byte of the next attempt is due.
 
-        A stream that has already started has no bound, since giving up would waste
-        what was generated. A retry gets a minimum, since a slightly late answer is
-        better than a refusal.
+        It is infinite for a stream that has already started, since giving up would
+        waste what was generated. A retry gets a minimum, since a slightly late answer
+        is better than a refusal.
         """
         objective_s = self._route.objective_s
         if self._caller.started:
@@ -214,7 +217,7 @@
         return refuse(code, detail, self._retry_after_s(estimate_s))
 
     def _retry_after_s(self, estimate_s: float) -> float:
-        """Clamp an estimate of the retry-after time to the time until the deadline."""
+        """Clamp an estimated retry-after time to a share of the time left."""
         left_s = self._deadline - trio.current_time()
         estimate_s = max(MIN_RETRY_AFTER_S, estimate_s)
         return max(0.01, min(estimate_s, left_s * MAX_RETRY_AFTER_SHARE))
@@ -282,7 +285,10 @@
     # Failure handling.
 
     def _handle_move(self, placement: Placement, exc: RunMovedError) -> None:
-        """Continue a run that was interrupted to free its engine."""
+        """Continue or restart a run that was interrupted to free its engine.
+
+        It continues from a copy of its KV cache if there is one.
+        """
         self._earlier_may_have_run = True
         self._next_placement = exc.placement
         self._record_attempt(placement, "moved" if exc.placement else "restarted", None)
@@ -340,7 +346,10 @@
             self._refuse_not_run(ResultCode.UPSTREAM_REFUSED, exc)
 
     def _refuse_not_run(self, code: ResultCode, exc: UpstreamError) -> None:
-        """Refuse a request that no instance accepted; as failed if it may have run."""
+        """Refuse a request whose last attempt did not run.
+
+        If an earlier attempt may have run it, the refusal reports a failed upstream.
+        """
         if self._caller.started:
             raise StreamCutError(f"no instance accepted the rest of the stream: {exc}")
         if self.may_have_run:
@@ -369,7 +378,7 @@
         await self._caller.answer(head.status, list(head.headers), failure.body)
 
     def _report_health(self, placement: Placement, exc: UpstreamError) -> None:
-        """Report the outcome of a failed attempt to the health table."""
+        """Report a failed attempt to the health table, and record it for the log."""
         health = self._parts.health
         incarnation_key = placement.instance.incarnation_key
         outcome = type(exc).__name__.removesuffix("Error").lower()
--- a/packages/corianderlb-router/src/corianderlb_router/lease_coordinator.py
+++ b/packages/corianderlb-router/src/corianderlb_router/lease_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinate a single lease for the whole fleet: renew it, wait for it, hand it over.
+"""Coordinate the lease on the orders to one upstream: take, renew and hand it over.
 
 One router holds the lease and sends all orders. It announces each renewal, so that the
 other routers know without the store when the lease expires. A holder that cannot reach
@@ -88,7 +88,7 @@
         self._rng = rng
         self._reaches_store = reaches_store
         self._n_routers = n_routers
-        self._must_settle = must_await_earlier_orders
+        self._must_await_earlier_orders = must_await_earlier_orders
         self._last_order_at = -math.inf
         self._offered_at = -math.inf
         self._last_renewal_at = -math.inf
@@ -191,7 +191,7 @@
         """Check the lease once; return the delay until the next check."""
         accepted, self._accepted_handover = self._accepted_handover, None
         if not self._lease.is_mine and accepted is None:
-            pause_s = self._renewed_delay_s()
+            pause_s = self._delay_after_renewal_s()
             if pause_s > 0:
                 return pause_s
         self._last_poll_at = trio.current_time()
@@ -201,14 +201,14 @@
                     await self._lease.take_over(accepted.token, accepted.settled_at)
                 else:
                     await self._lease.acquire(
-                        must_await_earlier_orders=self._must_settle
+                        must_await_earlier_orders=self._must_await_earlier_orders
                     )
         except (StoreError, LeaseLostError) as exc:
             self._log_interruption(exc)
             return TICK_S if self._lease.is_mine else self._standby_delay_s()
         self._is_interrupted = False
         if not self._lease.is_mine:
-            return self._renewed_delay_s() or self._standby_delay_s()
+            return self._delay_after_renewal_s() or self._standby_delay_s()
         self._announce_renewal()
         return TICK_S
 
@@ -226,10 +226,10 @@
         expiry_s = terms.lease_s + terms.margin_s + self._rng.uniform(0.0, JITTER_S)
         return min(pause_s, expiry_s)
 
-    def _renewed_delay_s(self) -> float:
-        """Return for how long received renewals make reads of the store unnecessary.
+    def _delay_after_renewal_s(self) -> float:
+        """Return the delay until the next read of the store after a received renewal.
 
-        When they stop, the next read is at the moment when the lease expires.
+        When renewals stop, the store is read once, and again when the lease expires.
         """
         now = trio.current_time()
         left_s = self._lease.lease_expires_at - now
@@ -299,10 +299,10 @@
                 self._peers.send(sender, LeaseCandidacy(offer.name, offer.token))
 
     async def on_lease_candidacy(
-        self, sender: InstanceId, wish: LeaseCandidacy
+        self, sender: InstanceId, candidacy: LeaseCandidacy
     ) -> None:
         """Stop sending orders and hand the lease to the first router that accepts."""
-        if wish.name != self._lease.upstream or wish.token != self.token:
+        if candidacy.name != self._lease.upstream or candidacy.token != self.token:
             return
         if not self._lease.is_overdue:
             return
@@ -334,7 +334,7 @@
         if announcement.name != self._lease.upstream or announcement.heir != self._node:
             return
         settled_at = trio.current_time()
-        if self._must_settle:
+        if self._must_await_earlier_orders:
             settled_at += max(0.0, self._lease.terms.flight_s - announcement.quiet_s)
         self._accepted_handover = _Handover(announcement.token, settled_at)
         self._wake_up.set()
--- a/packages/corianderlb-router/src/corianderlb_router/serving_state.py
+++ b/packages/corianderlb-router/src/corianderlb_router/serving_state.py
@@ -45,8 +45,8 @@
     read_at: float = float("-inf")
     """Time up to which this router has read all changes from the store."""
     confirmed_at: float = float("-inf")
-    """The same, or the latest time at which a peer that reads the store had nothing
-    newer."""
+    """Latest time at which the table is known to have been current, from this router's
+    own reads or from peers that read the store."""
 
     def confirm(self, as_of: float) -> None:
         """Record that all changes up to ``as_of`` have been read from the store."""
@@ -79,8 +79,8 @@
         self._newer_version_at: dict[str, float] = {}
         """By model: when this router learned of the newest version."""
         self._unchanged_at: float | None = None
-        """While changes are applied: the latest time at which they had not happened
-        yet; None when they have only just happened."""
+        """Latest known time before the changes that are being applied were made; None
+        when they have only just happened."""
         self._store_lost_at: float | None = None
         self._store_answered_at = float("-inf")
         self._store_back_at = float("-inf")
@@ -210,7 +210,7 @@
             if self._revision(table, stored.name) < stored.revision
         ]
         if kind == self.instances_kind and trio.current_time() < self.settles_at:
-            missing = [name for name in missing if self._is_leaving(name)]
+            missing = [name for name in missing if self._is_leaving_or_unknown(name)]
         self._apply(table, changed, missing, listing.revision)
 
     def apply_changes(
@@ -241,7 +241,7 @@
                 changed[name] = change.object
         gone = list(removed)
         if kind == self.instances_kind and trio.current_time() < self.settles_at:
-            gone = [name for name in gone if self._is_leaving(name)]
+            gone = [name for name in gone if self._is_leaving_or_unknown(name)]
         self._apply(table, list(changed.values()), gone, update.revision)
 
     def apply_peer(
@@ -281,7 +281,8 @@
         known = table.objects.get(name)
         return known.revision if known else 0
 
-    def _is_leaving(self, name: str) -> bool:
+    def _is_leaving_or_unknown(self, name: str) -> bool:
+        """Return whether an instance is leaving or unknown."""
         known = self._instances.get(name)
         return known is None or known.is_leaving
 
@@ -302,11 +303,11 @@
             del table.objects[name]
         newest = max((stored.revision for stored in changed), default=0)
         table.changed_at = max(table.changed_at, newest, revision if removed else 0)
-        self._decode(table.kind, changed, removed)
+        self._apply_objects(table.kind, changed, removed)
         self.changed.set()
         self.changed = trio.Event()
 
-    def _decode(
+    def _apply_objects(
         self, kind: str, changed: Sequence[SharedObject], removed: Sequence[str]
     ) -> None:
         if kind == self.configuration_kind:
