--- a/packages/corianderlb-core/src/corianderlb_core/fair_queue.py
+++ b/packages/corianderlb-core/src/corianderlb_core/fair_queue.py
@@ -5,8 +5,8 @@
 classes go first, but a class whose oldest request is overdue gets every
 ``overdue_every``-th turn until it has caught up.
 
-A request with ``n`` others of its class ahead of it therefore waits at most
-``max_wait_s`` plus ``overdue_every * n_overdue_classes * (n + 1)`` turns.
+A request with ``n`` others of its class ahead of it is therefore served, once it has
+waited ``max_wait_s``, within ``overdue_every * n_overdue_classes * (n + 1)`` turns.
 """
 
 from __future__ import annotations
@@ -129,9 +129,10 @@
             self._queues[ticket.service_class].remove(ticket)
 
     def n_ahead(self, service_class: ServiceClass) -> int:
-        """Return how many requests would be served before a new one of this class.
+        """Estimate how many requests will be served before a new one of this class.
 
-        This includes turns given to overdue requests of less urgent classes.
+        This includes turns given to overdue requests of less urgent classes, but not
+        the weights of accounts or later arrivals.
         """
         position = CLASSES.index(service_class)
         ahead = sum(self._queues[cls].n_waiting for cls in CLASSES[: position + 1])
@@ -153,8 +154,8 @@
         self._n_since_overdue += 1
         if overdue and self._n_since_overdue >= self._overdue_every:
             self._n_since_overdue = 0
-            # Overdue classes take turns. Ordered by the longest wait, an overloaded
-            # middle class would starve the last one.
+            # Overdue classes take turns. If the one with the longest wait went first,
+            # an overloaded middle class would starve the last one.
             self._overdue_rotation.sort(key=lambda cls: cls not in overdue)
             selected = self._overdue_rotation.pop(0)
             self._overdue_rotation.append(selected)
--- a/packages/corianderlb-core/src/corianderlb_core/hot_prefix.py
+++ b/packages/corianderlb-core/src/corianderlb_core/hot_prefix.py
@@ -37,22 +37,23 @@
 """Limit of prefixes with a recorded width."""
 
 SHARE_FACTOR: Final = 4.0
-"""Factor from a prefix's share of requests to its share of instances. Longer prefixes
-divide the instances of a shorter one: a wide prefix costs more recomputation of its own
-pieces, a narrow one overfills one cache while others have capacity."""
+"""Factor from a prefix's share of requests to its share of instances. A wider prefix
+has its pieces recomputed on more instances; a narrower one overfills one cache while
+others have capacity, since its longer prefixes share its instances."""
 
 MIN_COMMON_SHARE: Final = 0.8
-"""A longer prefix with at least this part of a shorter one's requests is widened with
+"""A longer prefix with at least this share of a shorter one's requests is widened with
 it."""
 
 PRESSURE_TO_WIDEN: Final = 2.5
-"""Requests within about a second that must find busy primaries to widen a prefix."""
+"""Decayed number of requests that found busy primaries, above which a prefix is
+widened; the half-life is ``FAST_HALF_LIFE_S``."""
 
 _RESCALE_EXPONENT: Final = 230.0
 """Exponent of a count's weight from which all counts are scaled down."""
 
 _MAX_EXPONENT: Final = 700.0
-"""Largest exponent that a float holds."""
+"""Bound of an exponent; ``math.exp`` overflows a float above 709."""
 
 _HOT: Final = struct.Struct(f">{SHORT_KEY_BYTES}sBB")
 
@@ -97,7 +98,8 @@
         self._counts: dict[bytes, float] = {}
         self._total = 0.0
         self._origin = 0.0
-        self._unit = 1.0
+        self._weight = 1.0
+        """Weight of the newest count."""
 
     def add(self, keys: Sequence[bytes], now: float) -> None:
         """Count one request that has all the keys."""
@@ -108,7 +110,7 @@
             self._rescale(math.exp(min(growth, _MAX_EXPONENT)))
             self._origin, growth = now, 0.0
         unit = math.exp(growth)
-        self._unit = unit
+        self._weight = unit
         self._total += unit
         counts = self._counts
         for key in keys:
@@ -122,10 +124,10 @@
         Subtracting the deviation of a Poisson count keeps a few requests in a row from
         widening a prefix.
         """
-        count = self._counts.get(key, 0.0) / self._unit
+        count = self._counts.get(key, 0.0) / self._weight
         if count <= 1.0:
             return 0.0
-        return (count - math.sqrt(count)) * self._unit / self._total
+        return (count - math.sqrt(count)) * self._weight / self._total
 
     def _rescale(self, unit: float) -> None:
         self._total /= unit
@@ -159,7 +161,7 @@
         self._slow.add(keys, now)
 
     def width(self, key: bytes, n_instances: int, now: float) -> int:
-        """Return the number of instances for the prefix, at least 1."""
+        """Narrow the prefix if that is due, and return its width, at least 1."""
         short = key[:SHORT_KEY_BYTES]
         state = self._states.get(short)
         if state is None:
@@ -176,8 +178,9 @@
     ) -> None:
         """Record that a request found its primaries busy.
 
-        Widens the shortest prefix that is below the bound of its share, with the longer
-        ones that nearly all of its requests have. A prefix with a small share is not
+        ``keys`` are ordered from the shortest prefix to the longest. The shortest one
+        that is narrower than its share allows is widened, together with longer ones
+        that occur in nearly all of its requests. A prefix with a small share is not
         widened: other prefixes keep its primary busy.
         """
         shares = [max(self._fast.share(key), self._slow.share(key)) for key in keys]
--- a/packages/corianderlb-core/src/corianderlb_core/part_index.py
+++ b/packages/corianderlb-core/src/corianderlb_core/part_index.py
@@ -122,8 +122,8 @@
     ) -> dict[IncarnationKey, Coverage]:
         """Return the coverage of each engine that holds any of a prompt.
 
-        Few engines hold a given prompt, so each part is looked up once and not once for
-        each engine.
+        Looks up each part once for all engines. Engines that lack the first part,
+        which are most of them, are left out.
         """
         known = [self._parts.get((scope, part_id)) for part_id, _ in parts]
         if not known or known[0] is None:
--- a/packages/corianderlb-core/src/corianderlb_core/retry.py
+++ b/packages/corianderlb-core/src/corianderlb_core/retry.py
@@ -19,7 +19,7 @@
 """Maximum backoff before the first retry; doubles with each further retry."""
 
 MAX_DELAY_S: Final = 2.0
-"""Maximum backoff before any retry, unless the upstream requests a longer one."""
+"""Maximum backoff before any retry; the upstream's Retry-After is added to it."""
 
 RETRY_AFTER_S: Final = 1.0
 """Retry-After for the caller when the upstream sent none."""
@@ -232,8 +232,8 @@
     ) -> Retry | GiveUp:
         """Decide whether to retry after a failed attempt.
 
-        An attempt that made progress resets the number of attempts, so a long stream
-        may be resumed on any number of upstreams.
+        An attempt that made progress resets the number of failed attempts, so a long
+        stream may be resumed any number of times.
         """
         self.may_have_run = self.may_have_run or failure.may_have_run
         self._n_failed = 1 if made_progress else self._n_failed + 1
--- a/packages/corianderlb-router/src/corianderlb_router/call_journal.py
+++ b/packages/corianderlb-router/src/corianderlb_router/call_journal.py
@@ -43,8 +43,8 @@
 from .store import ObjectStore, StoreError
 
 SEND_WINDOW_S: Final = 10.0
-"""Seconds after the record within which a call's first byte may be sent; far below the
-retention."""
+"""Seconds after the record within which a call's first byte may be sent. Below the
+retention, so that the record still exists when the call runs."""
 
 STORE_RETRY_S: Final = 2.0
 """Seconds after which to repeat a request when the store failed."""
@@ -156,7 +156,7 @@
         record = self._record(facts, key)
         wait_until = min(facts.deadline, trio.current_time() + self._cfg.repeat_wait_s)
         with trio.move_on_at(wait_until):
-            answer = await self._answer_of_run_here(record)
+            answer = await self._wait_local_answer(record)
             if answer is not None:
                 return RecordedAnswer(answer)
         shard = self._shard(record.key)
@@ -176,21 +176,21 @@
         if verdict is Verdict.RUN:
             return self._start_call(record)
         if verdict is Verdict.ALREADY_FINISHED:
-            return await self._earlier_answer(shard, record.key)
+            return await self._recorded_answer(shard, record.key)
         return self._refusal(shard, record.key, verdict, _NOT_RECORDED)
 
     async def finish(self, call: BegunCall, answer: CallAnswer) -> None:
         """Record the answer and wait a bounded time for the write.
 
-        The shard continues to retry after that. If this router dies first, a repeat is
-        refused because the outcome is unknown.
+        The shard continues to retry after that. If this router crashes first, a repeat
+        is refused because the outcome is unknown.
         """
         stored, body = self._stored(answer)
         pending = PendingOperation(Finish(call.key, call.attempt_id, stored), body=body)
         await self._record_end(call, pending, answer)
 
     async def abandon(self, call: BegunCall, ran: bool) -> None:
-        """Record that there is no answer; if ``ran`` is false the key may run again."""
+        """Record that there is no answer; unless ``ran``, the call may run again."""
         pending = PendingOperation(Abandon(call.key, call.attempt_id, ran))
         await self._record_end(call, pending, None)
 
@@ -242,14 +242,14 @@
         send_before = trio.current_time() + SEND_WINDOW_S
         return BegunCall(record.attempt_id, record.key, send_before)
 
-    async def _answer_of_run_here(self, record: CallRecord) -> CallAnswer | None:
+    async def _wait_local_answer(self, record: CallRecord) -> CallAnswer | None:
         known = self._shard(record.key).find(record.key)
         if known is None or known.digest != record.digest:
             return None
         running = self._running.get(known.attempt_id)
         return None if running is None else await running.answer.wait()
 
-    async def _earlier_answer(
+    async def _recorded_answer(
         self, shard: JournalShard, key: bytes
     ) -> RecordedAnswer | Refusal:
         known = shard.find(key)
@@ -261,11 +261,11 @@
                 CallAnswer(stored.status, stored.headers, stored.body)
             )
         try:
-            return await self._long_answer(known.attempt_id, stored.n_chunks)
+            return await self._read_chunked_answer(known.attempt_id, stored.n_chunks)
         except StoreError:
             return _ANSWER_UNREADABLE
 
-    async def _long_answer(
+    async def _read_chunked_answer(
         self, attempt_id: AttemptId, n_chunks: int
     ) -> RecordedAnswer | Refusal:
         data = b""
@@ -277,11 +277,11 @@
         return RecordedAnswer(decode_stored(CallAnswer, data))
 
     def _refusal(
-        self, shard: JournalShard, key: bytes, verdict: Verdict, otherwise: Refusal
+        self, shard: JournalShard, key: bytes, verdict: Verdict, default: Refusal
     ) -> Refusal:
         if verdict is Verdict.IN_PROGRESS and self._in_doubt(shard, key):
             verdict = Verdict.UNKNOWN
-        return _REFUSALS.get(verdict, otherwise)
+        return _REFUSALS.get(verdict, default)
 
     def _in_doubt(self, shard: JournalShard, key: bytes) -> bool:
         known = shard.find(key)
@@ -301,7 +301,7 @@
     async def _record_end(
         self, call: BegunCall, pending: PendingOperation, answer: CallAnswer | None
     ) -> None:
-        """Record the end of a call, and pass it to repeats that wait on this router."""
+        """Record the end of a call, and wake repeats that wait on this router."""
         self._shard(call.key).submit(pending)
         run = self._running.get(call.attempt_id)
         if run is not None:
--- a/packages/corianderlb-router/src/corianderlb_router/engine_table.py
+++ b/packages/corianderlb-router/src/corianderlb_router/engine_table.py
@@ -40,8 +40,8 @@
 from .weights_table import WeightsTable
 
 UPDATE_INTERVAL_S: Final = 0.2
-"""Longest interval between updates to the peers on requests in flight. The first
-prefill of a shared part is announced earlier."""
+"""Interval between updates to the peers on requests in flight; longer in a large fleet.
+The first prefill of a shared part and an unreachable engine are announced earlier."""
 
 MIN_UPDATE_INTERVAL_S: Final = 0.02
 """Shortest interval between updates, however many events there are."""
@@ -55,7 +55,8 @@
 engines are available."""
 
 MIN_REACHED_SHARE: Final = 0.02
-"""Lower bound of the share of routers reached, by which peers' work is scaled."""
+"""Lower bound of the fraction of peers that are linked; the work that these report is
+divided by it to estimate the work of all peers."""
 
 UNREACHED_BACKOFF_S: Final = 1.0
 """Backoff after a failed connection to an engine; applies while other engines are
@@ -70,7 +71,7 @@
 """Phases in which an engine accepts runs that move away from another one."""
 
 FALLBACK_MARGIN_S: Final = 1.0
-"""Margin before the age limit of replaced weights; covers copying a run's memory."""
+"""Margin before the age limit of replaced weights; covers copying a run's KV cache."""
 
 UNRESPONSIVE_S: Final = 0.4
 """Time without events after which an engine with requests counts as unresponsive;
@@ -113,7 +114,7 @@
         self.index = PartIndex()
         """Engines that cache each prompt part."""
         self._engines: dict[IncarnationKey, _Engine] = {}
-        self._common_speeds: dict[str, CommonEstimates] = {}
+        self._common_estimates: dict[str, CommonEstimates] = {}
         self._prefill_demands: dict[str, PrefillDemand] = {}
         """By upstream: prompt tokens assigned to its engines by all routers."""
         self._part_announcements: list[PartsAnnouncement] = []
@@ -160,7 +161,7 @@
         return not self.received_since(instance, trio.current_time() - UNRESPONSIVE_S)
 
     def received_since(self, instance: ForwardInstance, moment: float) -> bool:
-        """Return whether this router has received data from an engine since then."""
+        """Return whether this router has received data from an engine since a time."""
         return self._health.received_since(instance.incarnation_key, moment)
 
     def _is_in_backoff(self, view: EngineView, now: float) -> bool:
@@ -198,8 +199,8 @@
         """Return the engine that a run may move to, or None when there is none.
 
         It must have the same weights version. The engine with the fewest requests is
-        preferred, then one in the same availability zone. No run moves when its weights
-        were replaced longer ago than ``limit_s``.
+        preferred; another availability zone counts as one request more. No run moves
+        later than ``FALLBACK_MARGIN_S`` before its weights exceed the age ``limit_s``.
         """
         now = trio.current_time()
         version = source.weights_version
@@ -230,17 +231,17 @@
 
     def n_engines_needed(self, upstream: str) -> int:
         """Return the number of engines needed for the prefill load, with a margin."""
-        rate = self._prefill_demands.get(upstream)
-        common = self._common_speeds.get(upstream)
-        if rate is None or common is None:
+        demand = self._prefill_demands.get(upstream)
+        common = self._common_estimates.get(upstream)
+        if demand is None or common is None:
             return 1
-        per_s = rate.per_s(trio.current_time())
-        speed = math.exp(common.log_tokens_per_s)
-        return max(1, math.ceil(per_s / (MAX_PREFILL_SHARE * speed)))
+        demand_per_s = demand.per_s(trio.current_time())
+        tokens_per_s = math.exp(common.log_tokens_per_s)
+        return max(1, math.ceil(demand_per_s / (MAX_PREFILL_SHARE * tokens_per_s)))
 
     def _count_prefill(self, instance: ForwardInstance, n_tokens: float) -> None:
-        rate = self._prefill_demands.setdefault(instance.upstream, PrefillDemand())
-        rate.add(n_tokens, trio.current_time())
+        demand = self._prefill_demands.setdefault(instance.upstream, PrefillDemand())
+        demand.add(n_tokens, trio.current_time())
 
     # Attempts.
 
@@ -302,7 +303,7 @@
     # Updates from peers.
 
     async def on_engine_update(self, sender: InstanceId, update: EngineUpdate) -> None:
-        """Merge a peer's update on its requests in flight and on cached parts."""
+        """Merge a peer's requests in flight, unreachable engines and cached parts."""
         now = trio.current_time()
         # Assume that peers without a link have as much in flight as those with one.
         scale = 1 / max(MIN_REACHED_SHARE, self._peers.reach())
@@ -373,11 +374,11 @@
 
     def _completed_work(self, work: tuple[EngineWork, ...]) -> tuple[EngineWork, ...]:
         """Return zeros for engines with announced work that has completed."""
-        named = {announced.instance for announced in work}
+        still_busy = {current.instance for current in work}
         return tuple(
             EngineWork(announced.instance, announced.born_ms, 0, 0)
             for announced in self._announced_work
-            if announced.instance not in named
+            if announced.instance not in still_busy
         )
 
     def _drop_stale(self) -> None:
@@ -408,7 +409,7 @@
     def _engine(self, instance: ForwardInstance) -> _Engine:
         engine = self._engines.get(instance.incarnation_key)
         if engine is None:
-            common = self._common_speeds.setdefault(
+            common = self._common_estimates.setdefault(
                 instance.upstream, CommonEstimates()
             )
             kv_capacity = self._kv_capacity(instance.upstream)
--- a/packages/corianderlb-router/src/corianderlb_router/forward_target.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_target.py
@@ -65,7 +65,8 @@
     detail: str = ""
     """The deciding estimate, for the log."""
     read_s: float = 0.0
-    """Prefill time of the request, divided by the number of engines."""
+    """Prefill time of the request, divided by the number of engines. It spaces the
+    retries of refused callers."""
 
 
 class Target(ABC):
@@ -96,10 +97,10 @@
         return self.parts.state.accepts_requests(placement.instance)
 
     def begin_before(self, placement: Placement) -> float:
-        """Return the router time before which an instance must begin the request.
+        """Return the time by which an instance must begin the request.
 
-        The estimate at sending does not guarantee it, since the instance decides when
-        the request begins.
+        The time is on the router's clock. A request may miss it despite the estimate at
+        sending, since the instance decides when the request begins.
         """
         return math.inf
 
@@ -134,8 +135,8 @@
     """Chooses among the instances of a plain service."""
 
     FAILURE_WEIGHT: Final = 0.5
-    """Waiting time that a certain failure equals, as a share of the objective: about
-    the time that a retry takes."""
+    """Waiting time that a failure rate of 1 adds, as a share of the objective; accounts
+    for the retry after a failure."""
 
     def __init__(self, *args, upstream: str) -> None:
         super().__init__(*args)
@@ -144,7 +145,11 @@
     def choose(
         self, avoid: Collection[IncarnationKey], objective_left_s: float
     ) -> Placement | NoPlacement:
-        """Return the instance with the lowest estimated time to answer."""
+        """Return the instance with the lowest cost.
+
+        The cost is the estimated time to answer plus penalties for another availability
+        zone and for recent failures.
+        """
         parts = self.parts
         now = trio.current_time()
         known = [
@@ -233,7 +238,7 @@
         )
 
     def fallback(self, placement: Placement) -> Placement | None:
-        """Return the engine with the same weights that has the most capacity."""
+        """Return the engine of the same weights version with the fewest requests."""
         if not self._can_copy_runs:
             return None
         choice = placement.choice
@@ -255,7 +260,7 @@
         return left_s > OVERHEAD_S and super().may_take(placement)
 
     def begin_before(self, placement: Placement) -> float:
-        """Return when the required weights version exceeds its age limit."""
+        """Return when the engine's weights version exceeds its age limit."""
         choice, limit_s = placement.choice, self.parts.cfg.weights_limit_s
         assert choice is not None
         if math.isinf(limit_s):
@@ -327,7 +332,7 @@
         self.parts.engines.ended(key, placement.choice, self._part_ids, was_read)
 
     def unreached(self, placement: Placement) -> None:
-        """Avoid the engine for a moment, and announce it to the peers."""
+        """Back off from the engine, and announce to peers that it is unreachable."""
         self.parts.engines.unreached(placement.instance)
 
     def _query(self, objective_left_s: float) -> EngineQuery | None:
@@ -353,5 +358,5 @@
 
 
 NO_INSTANCE_RETRY_S: Final = 0.5
-"""Retry-after time when no instance is available: about the duration of a weights load
-or a heartbeat interval."""
+"""Retry-after time when no instance is available; allows for a weights load or the next
+heartbeat."""
--- a/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
@@ -1,4 +1,4 @@
-"""Hold the lease on the orders to one upstream in the platform's object store."""
+"""Hold a lease on sending orders, stored in the platform's object store."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class LeaseHolder:
-    """Acquire, renew and release one lease, and tell at any moment whether it is held.
+    """Acquire, renew and release one lease, and report at any time whether it is held.
 
     A router can be paused at any line, so an earlier check proves nothing:
     ``send_before`` is compared with the clock where the bytes are written to the
@@ -114,32 +114,35 @@
         """
         now = trio.current_time()
         if self.state == "settling" and now >= self._settled_at:
-            self._move("settled")
+            self._send_event("settled")
         if self.state in ("held", "settling") and now < self._valid_until:
             await self.renew_if_due()
             return self.may_act()
-        self._move("lose")
+        self._send_event("lose")
         stored = await self._read()
         if stored is not None and not self._is_free(stored, now):
-            self._move("see_other")
+            self._send_event("see_other")
             return False
-        others_send_until = self._last_order_before(now)
+        others_send_until = self._latest_send_by_others(now)
         settled_at = (
             others_send_until + self.terms.flight_s
             if must_await_earlier_orders
             else now
         )
         if self._record.is_held_by(self._router, self._epoch):
-            # Orders of an earlier incarnation came from this router too; their order
-            # count keeps late ones from taking effect.
-            waits = self._record.is_settling
-            settled_at = max(now, settled_at) if waits else now
+            # The earlier orders came from this router. Engines reject late ones by
+            # their order count, so wait only for those of a holder before it.
+            must_settle = self._record.is_settling
+            settled_at = max(now, settled_at) if must_settle else now
         await self._take(stored, least_token, settled_at)
         self._start_holding(settled_at, others_send_until)
         return self.may_act()
 
-    def _last_order_before(self, now: float) -> float:
-        """Return until when other holders may send orders, by the record just read."""
+    def _latest_send_by_others(self, now: float) -> float:
+        """Return the time until which other holders may send orders.
+
+        It is derived from the record just read.
+        """
         record = self._record
         if record.holder == NO_HOLDER:
             return now - self.terms.flight_s
@@ -151,8 +154,8 @@
     async def take_over(self, token: int, settled_at: float) -> bool:
         """Take the lease after an announced handover; return ``may_act``.
 
-        ``settled_at`` is when the last order of that holder must have arrived. Return
-        False and take nothing when another router was first.
+        ``settled_at`` is when the last order of the previous holder must have arrived.
+        Return False and take nothing when another router was first.
         """
         stored = await self._read()
         if stored is None or self._record.token != token:
@@ -163,9 +166,9 @@
 
     def _start_holding(self, settled_at: float, others_send_until: float) -> None:
         """Enter the held state, or the settling state until ``settled_at``."""
-        self._move("see_other")
-        waits = settled_at > trio.current_time()
-        self._move("take_lapsed" if waits else "take_free")
+        self._send_event("see_other")
+        must_settle = settled_at > trio.current_time()
+        self._send_event("take_lapsed" if must_settle else "take_free")
         self._settled_at = settled_at
         self._others_send_until = others_send_until
         self._own_token = self._record.token
@@ -225,12 +228,12 @@
         if self.state in ("held", "settling"):
             await self._write(LeaseRecord.released)
             self._valid_until = float("-inf")
-        self._move("release")
+        self._send_event("release")
 
     def lose(self) -> None:
         """Stop sending orders: a newer holder exists."""
         self._valid_until = float("-inf")
-        self._move("lose")
+        self._send_event("lose")
 
     def _is_free(self, stored: StoredObject, now: float) -> bool:
         if self._record.holder == NO_HOLDER:
@@ -257,7 +260,7 @@
             raise LeaseLostError(
                 f"{self._key}: another router took the lease first"
             ) from exc
-        self._adopt(record, version, started_at)
+        self._apply_write(record, version, started_at)
 
     async def _write(self, change: Callable[[LeaseRecord], LeaseRecord]) -> None:
         """Replace the record; the lease duration counts from the start of the write."""
@@ -272,12 +275,12 @@
             )
         except (StoreConflictError, StoreUnknownError):
             version = await self._resolve_write(record)
-        self._adopt(record, version, started_at)
+        self._apply_write(record, version, started_at)
 
     async def _resolve_write(self, desired: LeaseRecord) -> str:
         """Read the record back after a write with unknown effect.
 
-        A conflict can be caused by an own earlier write that arrived late.
+        A conflict can be caused by an earlier write of this router that arrived late.
         """
         stored = await self._read()
         if stored is not None and self._record == desired:
@@ -302,12 +305,14 @@
             ) from exc
         return stored
 
-    def _adopt(self, record: LeaseRecord, version: str, started_at: float) -> None:
+    def _apply_write(
+        self, record: LeaseRecord, version: str, started_at: float
+    ) -> None:
         self._record = record
         self._version = version
         self._valid_until = started_at + self.terms.lease_s
 
-    def _move(self, event: str) -> None:
+    def _send_event(self, event: str) -> None:
         if self._cycle.send(event):
             eliot.log_message(
                 message_type="lease:state",
--- a/packages/corianderlb-router/src/corianderlb_router/peer_network.py
+++ b/packages/corianderlb-router/src/corianderlb_router/peer_network.py
@@ -1,9 +1,9 @@
 """Overlay network between the routers, with membership and flooding.
 
 Each router keeps links to a few others, chosen by ``corianderlb_core.overlay``. Each
-link carries a heartbeat per second with the catalogue version and membership updates.
-A broadcast travels one hop. A receiver that learns something new from it broadcasts it
-again, so it reaches every router, and duplicates are not forwarded further.
+link carries periodic heartbeats with the catalogue version and membership updates. A
+broadcast travels one hop. For messages that must reach every router, the handler of a
+receiver that learns something new sends it on, and drops duplicates.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 """Timeout for authenticating an open link."""
 
 MAX_UNAUTHENTICATED: Final = 32
-"""Most concurrent unauthenticated links; bounds their memory use."""
+"""Maximum number of concurrent unauthenticated links; bounds their memory use."""
 
 REPLAYED_TYPES: Final = (
     UpstreamLeaving,
@@ -57,11 +57,11 @@
 """Broadcasts that are replayed to routers that link later."""
 
 MAX_REPLAYED: Final = 128
-"""Most broadcasts stored for replay."""
+"""Maximum number of broadcasts stored for replay."""
 
 REPLAY_S: Final = HOLD_S
-"""How long broadcasts are replayed: a starting router must refuse what the others
-refuse."""
+"""How long broadcasts are replayed: as long as a quarantine, so that a starting router
+refuses the same requests as the others."""
 
 N_FORWARDS: Final = 4
 """Peers to which a router forwards an update. Forwarding to all peers would make the
@@ -80,7 +80,7 @@
 """Minimum interval between heartbeats, whatever the rate of updates."""
 
 MAX_HEARTBEAT_TIMES: Final = 256
-"""Most recent own heartbeats whose send times are stored."""
+"""Maximum number of own heartbeats whose send times are stored."""
 
 RANDOM_MEMBER_EVERY: Final = 10
 """Every n-th heartbeat also carries the state of a random member."""
@@ -119,7 +119,7 @@
         self._n_heartbeats = 0
         self._n_unauthenticated = 0
         self._auth_failure_logged_at = -math.inf
-        self._has_logged_newer_self = False
+        self._has_logged_newer_epoch = False
         self._heartbeat_requested = trio.Event()
         self._links_check_requested = trio.Event()
         self._heartbeat_times: dict[int, float] = {}
@@ -128,8 +128,8 @@
     def subscribe(self, cls: type, handler: Handler) -> None:
         """Register a handler for received messages of a class.
 
-        The next message of the same peer waits until the handler returns, so long tasks
-        belong in an actor of their own.
+        The next message of the same peer waits until the handler returns, so long work
+        belongs in an ``Actor``.
         """
         self._handlers[cls].append(handler)
 
@@ -335,7 +335,10 @@
     async def _authenticate(
         self, link: PeerLink, handshake: Callable[..., object]
     ) -> AuthenticatedLink | None:
-        """Return the authenticated link, or None if the handshake failed."""
+        """Return the authenticated link, or None.
+
+        It is None when the handshake failed or the peer is this router itself.
+        """
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
                 auth_link = await handshake(self._identity, self._key)
@@ -412,8 +415,8 @@
         )
         if MergeResult.CHANGED in outcomes:
             self.heartbeat_now()
-        if member.newer_own_epoch is not None and not self._has_logged_newer_self:
-            self._has_logged_newer_self = True
+        if member.newer_own_epoch is not None and not self._has_logged_newer_epoch:
+            self._has_logged_newer_epoch = True
             eliot.log_message(
                 message_type="peer:newer_self", epoch=member.newer_own_epoch
             )
--- a/packages/corianderlb-router/src/corianderlb_router/state_follower.py
+++ b/packages/corianderlb-router/src/corianderlb_router/state_follower.py
@@ -18,9 +18,8 @@
 from .store import StoreError
 
 WATCH_S: Final = 3.0
-"""Seconds that a watch waits; each watch is a billed call. Dead connections are
-detected by kernel keepalive probes, and a store that withholds the answer by the
-offers of peers."""
+"""Seconds that a watch waits; each watch is a billed call. Kernel keepalive probes
+detect dead connections, and offers of peers reveal that a store withholds answers."""
 
 RETRY_S: Final = 0.15
 MAX_RETRY_S: Final = 0.6
@@ -30,18 +29,20 @@
 """Seconds between two offers to peers."""
 
 LONG_OFFER_S: Final = 3.0
-"""The same in a large fleet, where offers arrive several times a second."""
+"""Seconds between two offers in a large fleet, where offers arrive several times a
+second."""
 
 MIN_OFFER_FACTOR: Final = 0.8
-"""Smallest random factor of that interval, which spreads the offers of routers."""
+"""Smallest random factor of the offer interval; the factor spreads the offers of
+routers."""
 
 AGE_QUERY_INTERVAL_S: Final = 0.15
-"""Seconds between offers while the age of replaced weights is unknown. Until then the
-router accepts no answers from them."""
+"""Seconds between offers while the age of replaced weights is unknown. Until it is
+known, the router accepts no answers that were generated with these weights."""
 
 AGE_QUERY_PHASE_S: Final = 3.0
-"""Seconds for which that shorter interval applies: several times the time to connect to
-peers after a start."""
+"""Seconds for which ``AGE_QUERY_INTERVAL_S`` applies; long enough to connect to peers
+after a start."""
 
 MAX_OPEN_QUERIES: Final = 64
 """Limit of queries to peers that are tracked for an answer."""
@@ -53,11 +54,12 @@
 """Seconds during which further changes are combined into one offer."""
 
 STORE_SILENT_S: Final = 0.4
-"""Seconds without a read of the store after which a peer's newer state is requested."""
+"""Seconds since the last read after which, if the last call to the store also failed, a
+peer's newer state is requested at once."""
 
 LATE_ANSWER_S: Final = 0.5
-"""Delay beyond its wait after which a watch's answer counts as late: the store withheld
-it or this router was paused, and its changes may have happened long before."""
+"""Delay after the end of a watch's wait from which its answer counts as late: the store
+withheld it or this router was paused, and its changes may have happened long before."""
 
 OWN_READ_TTL_S: Final = WATCH_S + 1.0
 """Age of a router's last read up to which its answers confirm state for peers: the wait
@@ -71,8 +73,8 @@
 """Shortest interval between two requests for one kind."""
 
 LONG_WATCH_S: Final = 12.0
-"""Seconds that a watch waits in a large fleet. Peers that have read the store within
-the last second confirm the state and announce changes withheld from other routers."""
+"""Seconds that a watch waits in a large fleet. Peers that have read the store more
+recently confirm the state and announce changes withheld from other routers."""
 
 LARGE_FLEET: Final = 12
 """Number of routers from which a fleet counts as large: with ``LONG_WATCH_S`` one of
@@ -82,8 +84,8 @@
 MAX_REWATCH_DELAY_S: Final = 0.5
 """Delay after a change of instances until they are watched again: seconds per router of
 the fleet, and the maximum. Each change ends the watch of every router, so without the
-delay a series of changes costs one call per router and change. Instances still serve
-requests that arrive within the delay after they began to leave."""
+delay a series of changes costs one call per router and change. An instance that
+begins to leave still serves requests during the delay."""
 
 
 class StateFollower:
@@ -168,6 +170,7 @@
         update = await self._feed.watch(kind, table.revision, wait_s)
         arrived_at = self._pauses.earliest_arrival_at()
         is_late = arrived_at - table.read_at > wait_s + LATE_ANSWER_S
+        # A late answer proves only that its changes are newer than the previous read.
         unchanged_at = table.read_at if is_late else arrived_at
         in_time = not (is_late or self._pauses.has_just_resumed)
         as_of = unchanged_at if update.changes else min(started_at + wait_s, arrived_at)
@@ -216,7 +219,7 @@
         return tuple((kind, table.changed_at) for kind, table in tables.items())
 
     @property
-    def _is_confirmed(self) -> bool:
+    def _has_recent_read(self) -> bool:
         """Whether this router has recently read the store itself."""
         read_at = self._state.tables[self._state.configuration_kind].read_at
         return trio.current_time() - read_at < OWN_READ_TTL_S
@@ -281,8 +284,8 @@
             self._peers.send(sender, req)
 
     def _answer(self, ask: int) -> StateAnswer:
-        named = self._state.named_ages()
-        return StateAnswer(ask, self._revisions(), self._is_confirmed, named)
+        ages = self._state.named_ages()
+        return StateAnswer(ask, self._revisions(), self._has_recent_read, ages)
 
     def _is_known(self, kind: str, revision: int) -> bool:
         """Return whether this router's state is at least as new as a peer's."""
@@ -318,7 +321,7 @@
                 continue
             objects = tuple(table.objects.values())
             reply = StateObjects(
-                kind, table.revision, objects, req.ask, self._is_confirmed
+                kind, table.revision, objects, req.ask, self._has_recent_read
             )
             self._peers.send(sender, reply)
 
--- a/packages/corianderlb-router/src/corianderlb_router/weights_controller.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_controller.py
@@ -25,10 +25,11 @@
 from .weights_table import DRAIN_PHASES, keeps_phase_start
 
 TICK_S: Final = 0.05
-"""Interval between planning ticks while engines load."""
+"""Shortest interval between planning ticks."""
 
 IDLE_TICK_S: Final = 0.25
-"""Longest interval between planning ticks; a newly named version starts one at once."""
+"""Longest interval between planning ticks; a change of the serving state, such as a new
+version, starts one earlier."""
 
 REANNOUNCE_S: Final = 0.7
 """Interval between announcements of a phase; below ``EMPTYING_TTL_S``, so that one lost
@@ -44,7 +45,7 @@
     ordered_at: float = -math.inf
     phase: EnginePhase = EnginePhase.SERVING
     phase_started_at: float = 0.0
-    """Start of the current phase; clearing continues the time of emptying."""
+    """Start of the current phase; a change between emptying and clearing keeps it."""
     announced_at: float = -math.inf
     """When the phase was last announced to the peers."""
 
@@ -88,7 +89,7 @@
             while True:
                 changed = self._state.changed
                 if self._state.is_complete and self._coordinator.may_act():
-                    self._roll(nursery)
+                    self._advance_rollouts(nursery)
                 with trio.move_on_after(IDLE_TICK_S):
                     await trio.sleep(TICK_S)
                     await changed.wait()
@@ -114,15 +115,15 @@
             for model in upstream.engine.models
         ]
 
-    def _roll(self, nursery: trio.Nursery) -> None:
-        """Plan the roll of each model and start the loads that are due."""
+    def _advance_rollouts(self, nursery: trio.Nursery) -> None:
+        """Plan the rollout of each model, start due loads and announce phases."""
         self._drop_outdated()
         for upstream, model in self._models():
             newest = self._state.newest_weights(model)
             instances = self._state.instances(upstream)
-            known = [self._plan_input(instance, model) for instance in instances]
+            inputs = [self._plan_input(instance, model) for instance in instances]
             n_needed = self._table.n_engines_needed(upstream)
-            plan = plan_rollout(known, newest, n_needed)
+            plan = plan_rollout(inputs, newest, n_needed)
             for instance in instances:
                 if instance.instance in plan.orders:
                     nursery.start_soon(self._load, instance, model, newest)
@@ -133,7 +134,10 @@
     def _apply_phase(
         self, instance: ForwardInstance, model: str, plan: RolloutPlan
     ) -> None:
-        """Announce an engine's target phase when it changes, and repeat it."""
+        """Announce an engine's target phase when it changes.
+
+        Phases other than SERVING are announced again every ``REANNOUNCE_S``.
+        """
         engine = self._engine(instance)
         if engine.is_loading:
             return
@@ -206,15 +210,15 @@
     def _drop_outdated(self) -> None:
         """Drop the state of engine incarnations that are no longer listed.
 
-        State from an earlier holding of the lease is dropped too, since other routers
-        have sent orders in the meantime.
+        State recorded under an earlier fencing token is dropped too, since other
+        routers may have sent orders in the meantime.
         """
-        is_new_holding = self._coordinator.token != self._token
+        is_new_token = self._coordinator.token != self._token
         self._token = self._coordinator.token
         for incarnation_key, engine in list(self._engines.items()):
             known = self._state.instance(incarnation_key[0])
             is_gone = known is None or known.incarnation_key != incarnation_key
-            if not engine.is_loading and (is_gone or is_new_holding):
+            if not engine.is_loading and (is_gone or is_new_token):
                 del self._engines[incarnation_key]
 
     def _engine(self, instance: ForwardInstance) -> _Engine:
