--- a/packages/corianderlb-ctl/src/corianderlb_ctl/__init__.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' command line: edit the catalogue and read back what is in force."""
+"""Operator command line: edit the catalogue and inspect what the routers use."""
 
 from __future__ import annotations
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/_main.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/_main.py
@@ -1,4 +1,4 @@
-"""The entry point of ``corianderctl``: words on the command line to exit codes."""
+"""Entry point of ``corianderctl``: parse arguments, run a command, map errors."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 from .trace import Trace
 
 STORE_VARIABLE: Final = "CORIANDERCTL_STORE"
-"""Environment variable with the URL of the platform's service."""
+"""Environment variable with the URL of the platform service."""
 
-KEY_VARIABLE: Final = "CORIANDERCTL_OPERATOR_KEY_FILE"
-"""Environment variable with the path of the operators' key."""
+OPERATOR_KEY_VARIABLE: Final = "CORIANDERCTL_OPERATOR_KEY_FILE"
+"""Environment variable with the path of the operator key file."""
 
 STORE_TIMEOUT_S: Final = 5.0
-"""Longest wait for one answer of the store, in seconds."""
+"""Timeout of one call to the store, in seconds."""
 
-UNUSED_STORE: Final = "http://127.0.0.1:9"
-"""Stands for the store in commands that never call it; nothing answers there."""
+PLACEHOLDER_STORE_URL: Final = "http://127.0.0.1:9"
+"""Placeholder URL for commands that never call the store."""
 
 COMMANDS: Final[tuple[Command, ...]] = (
     Check(),
@@ -81,21 +81,21 @@
     (RouterUnreachableError, ExitCode.UNAVAILABLE),
     (RouterRefusedError, ExitCode.UNAVAILABLE),
 )
-"""Which exit code goes with which error; the first that fits counts."""
+"""Exit code by error class; the first match applies."""
 
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run one command; return its exit code.
 
-    A user's mistake and an outage give one message on standard error, never a
-    traceback; only a fault of the program itself shows one.
+    User errors and outages print one message on standard error; only a bug in the
+    program prints a traceback.
     """
     arguments = build_parser().parse_args(argv)
     return run(arguments, sys.stdout, sys.stderr)
 
 
 def run(arguments: argparse.Namespace, out: TextIO, err: TextIO) -> int:
-    """Run the command that was parsed, print its report, return its exit code."""
+    """Run the parsed command, print its report and return its exit code."""
     try:
         report = trio.run(_run, arguments)
     except CorianderError as exc:
@@ -141,24 +141,24 @@
 
 
 def _add_common(parser: argparse.ArgumentParser) -> None:
-    """Add what every command takes."""
+    """Add the options that all commands share."""
     parser.add_argument("--output", choices=OUTPUTS, default="table")
     parser.add_argument(
         "--store",
         default=os.environ.get(STORE_VARIABLE, ""),
-        help=f"URL of the platform's service, or ${STORE_VARIABLE}",
+        help=f"URL of the platform service, or ${STORE_VARIABLE}",
     )
     parser.add_argument(
         "--router",
         action="append",
         default=[],
         metavar="HOST:PORT",
-        help="ask this router; repeat for more; by default the platform's list",
+        help="query this router; repeatable; by default all listed routers",
     )
     parser.add_argument(
         "--operator-key-file",
-        default=os.environ.get(KEY_VARIABLE, ""),
-        help=f"file with the operators' key, or ${KEY_VARIABLE}",
+        default=os.environ.get(OPERATOR_KEY_VARIABLE, ""),
+        help=f"file with the operator key, or ${OPERATOR_KEY_VARIABLE}",
     )
 
 
@@ -176,10 +176,10 @@
 
 
 def _store_url(arguments: argparse.Namespace) -> str:
-    """Return the store's URL; commands that do not ask the store need none."""
+    """Return the store's URL; commands that do not use the store need none."""
     offline = isinstance(arguments.command, Check | Codes | Losses | Settings | Trace)
     if arguments.store or offline or arguments.router:
-        return arguments.store or UNUSED_STORE
+        return arguments.store or PLACEHOLDER_STORE_URL
     raise CommandError(
-        f"no store named; give --store URL or set {STORE_VARIABLE}", ExitCode.USAGE
+        f"no store given: pass --store URL or set {STORE_VARIABLE}", ExitCode.USAGE
     )
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/apply.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/apply.py
@@ -1,4 +1,4 @@
-"""``corianderctl apply``: have an edit of the catalogue accepted, once."""
+"""``corianderctl apply``: submit an edit of the catalogue, idempotently."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from .in_force import wait_in_force
 
 DEFAULT_WAIT_S: Final = 13.0
-"""Seconds within which an accepted change is in force everywhere."""
+"""Default timeout of ``--wait``, in seconds."""
 
 
 @dataclass(frozen=True)
 class ApplyResult:
-    """Hold what was accepted and who has it in force."""
+    """An accepted change and the routers that have it in force."""
 
     version: int
     edit_id: str
@@ -35,7 +35,7 @@
 
 
 class Apply(Command):
-    """Write an edit against the version that the operator looked at."""
+    """Submit an edit based on the version that the operator reviewed."""
 
     name: ClassVar[str] = "apply"
     summary: ClassVar[str] = "put an edit of the catalogue in force"
@@ -44,27 +44,38 @@
     )
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the file, who and why, and how the edit is meant."""
-        parser.add_argument("file", type=Path, nargs="?", help="entries to put")
-        parser.add_argument("--author", required=True, help="who asks for the edit")
-        parser.add_argument("--reason", required=True, help="why, for the audit trail")
-        parser.add_argument("--owner", default="", help="who answers for the edit")
+        """Add the file, the author and reason, and the options of the edit."""
+        parser.add_argument(
+            "file",
+            type=Path,
+            nargs="?",
+            help="catalogue file with the entries to add or replace",
+        )
+        parser.add_argument("--author", required=True, help="author of the edit")
+        parser.add_argument(
+            "--reason", required=True, help="reason, recorded in the audit trail"
+        )
+        parser.add_argument(
+            "--owner", default="", help="owner responsible for the edit"
+        )
         parser.add_argument(
             "--remove", action="append", default=[], metavar="KIND/NAME"
         )
         parser.add_argument(
             "--whole",
             action="store_true",
-            help="the file is the whole catalogue: remove what it does not name",
+            help="the file is the whole catalogue: remove entries that it lacks",
         )
         parser.add_argument(
             "--base",
             type=int,
             metavar="VERSION",
-            help="the version you looked at; by default the file's, else the newest",
+            help="version the edit is based on; by default the file's, else the newest",
         )
         parser.add_argument(
-            "--edit-id", default="", help="repeat an edit whose outcome is unknown"
+            "--edit-id",
+            default="",
+            help="id of an edit to retry after an unknown outcome",
         )
         parser.add_argument(
             "--wait",
@@ -76,46 +87,50 @@
         )
 
     async def run(self, context: Context) -> Report:
-        """Accept the edit, then wait for it where asked."""
+        """Submit the edit; with ``--wait``, wait until it is in force."""
         arguments = context.arguments
         editor = CatalogueEditor(context.store)
-        edit = await _edit(arguments, editor)
+        edit = await _build_edit(arguments, editor)
         change = await editor.accept(edit, repeated=bool(arguments.edit_id))
         notes = [f"accepted as version {change.version} (edit {change.edit_id})"]
         notes += [f"  {item}" for item in diff_change(change)]
         if arguments.wait is None:
             return Report(_result(change), notes=tuple(notes))
-        return await _waited(context, change, notes)
+        return await _wait_and_report(context, change, notes)
 
 
-async def _edit(arguments: argparse.Namespace, editor: CatalogueEditor) -> Edit:
-    """Return the edit that the command line asks for."""
+async def _build_edit(arguments: argparse.Namespace, editor: CatalogueEditor) -> Edit:
+    """Return the edit that the command line describes."""
     if arguments.file is None and not arguments.remove:
-        raise CommandError("give a file, --remove, or both", ExitCode.USAGE)
+        raise CommandError(
+            "nothing to apply: give a file, --remove, or both", ExitCode.USAGE
+        )
     if arguments.whole and arguments.file is None:
-        raise CommandError("--whole needs a file", ExitCode.USAGE)
-    wanted = CatalogueFile(())
+        raise CommandError("--whole requires a file", ExitCode.USAGE)
+    new_content = CatalogueFile(())
     if arguments.file is not None:
-        wanted = read_catalogue_file(arguments.file)
-    base = await _base(arguments.base, wanted.version, editor)
+        new_content = read_catalogue_file(arguments.file)
+    base = await _read_base(arguments.base, new_content.version, editor)
     edit = Edit(
         edit_id=arguments.edit_id or uuid.uuid4().hex,
         base_version=base.version,
         author=arguments.author,
         reason=arguments.reason,
         owner=arguments.owner,
-        put=wanted.entries,
+        put=new_content.entries,
         removed=tuple(map(key_from_str, arguments.remove)),
     )
     return (
-        build_edit_from_entries(edit, base, wanted.entries) if arguments.whole else edit
+        build_edit_from_entries(edit, base, new_content.entries)
+        if arguments.whole
+        else edit
     )
 
 
-async def _base(
-    asked: int | None, in_file: int | None, editor: CatalogueEditor
+async def _read_base(
+    requested: int | None, in_file: int | None, editor: CatalogueEditor
 ) -> Catalogue:
-    version = in_file if asked is None else asked
+    version = in_file if requested is None else requested
     return await (editor.newest() if version is None else editor.at(version))
 
 
@@ -124,8 +139,10 @@
     return ApplyResult(change.version, change.edit_id, lines)
 
 
-async def _waited(context: Context, change: Change, notes: list[str]) -> Report:
-    """Report once all routers have the change in force, or which ones lag."""
+async def _wait_and_report(
+    context: Context, change: Change, notes: list[str]
+) -> Report:
+    """Wait for the change to be in force and report the routers that lag."""
     found = await wait_in_force(context, change.version, context.arguments.wait)
     result = ApplyResult(
         change.version,
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/catalogue_file.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/catalogue_file.py
@@ -1,7 +1,7 @@
 """Read and write catalogue files: YAML with a list of entries.
 
-A file holds ``version`` (the version it was read from, optional) and ``entries``. Each
-entry names its ``kind``, ``name`` and ``owner``; see ``docs/reference/catalogue.md``.
+A file has ``entries`` and optionally ``version``, the version it was exported from.
+Each entry has a ``kind``, ``name`` and ``owner``; see ``docs/reference/catalogue.md``.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from .exit_code import ExitCode
 
 _FIELDS: Final = ("version", "entries")
-"""What a catalogue file may hold."""
+"""Allowed top-level fields of a catalogue file."""
 
 
 @dataclass(frozen=True)
 class CatalogueFile:
-    """Hold what a catalogue file says."""
+    """Contents of a catalogue file."""
 
     entries: tuple[Entry, ...]
     version: int | None = None
-    """The version that the file was read from; None when it names none."""
+    """Version that the file was exported from; None if absent."""
 
 
 def read_catalogue_file(path: Path) -> CatalogueFile:
-    """Return the entries of a file; raise ``CommandError`` for each kind of mistake.
+    """Read and validate a file; raise ``CommandError`` if it is invalid.
 
-    All wrong entries are told at once, each with its place in the file, so that a long
-    file is not mended one error a run.
+    All invalid entries are reported together, each with its index, so that a long file
+    need not be corrected one error at a time.
     """
     plain = _load(path)
     unknown = [name for name in plain if name not in _FIELDS]
@@ -47,12 +47,12 @@
         raise _invalid(path, "entries: expected a list of entries")
     version = plain.get("version")
     if version is not None and (type(version) is not int or version < 0):
-        raise _invalid(path, f"version: {version!r}; use a whole number from 0 on")
+        raise _invalid(path, f"version: {version!r}; expected a whole number >= 0")
     return CatalogueFile(_entries(path, items), version)
 
 
 def render_catalogue(catalogue: Catalogue) -> str:
-    """Return the text of a file that holds the whole catalogue."""
+    """Return the whole catalogue as the text of a catalogue file."""
     entries = [
         entry_to_plain(entry) for kind in EntryKind for entry in catalogue.of_kind(kind)
     ]
@@ -71,7 +71,9 @@
             faults.append(f"entries[{index}] ({_label(item)}): {exc}")
             continue
         if key_of(entry) in seen:
-            faults.append(f"entries[{index}]: {key_of(entry)} stands twice")
+            faults.append(
+                f"entries[{index}]: {key_of(entry)} is defined more than once"
+            )
         seen.add(key_of(entry))
         entries.append(entry)
     if faults:
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/check.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/check.py
@@ -1,4 +1,4 @@
-"""``corianderctl check``: look at settings or a catalogue without touching anything."""
+"""``corianderctl check``: validate a settings or catalogue file offline."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class CheckResult:
-    """Hold what a check found; a file without faults is good."""
+    """Result of a check; a file without faults is valid."""
 
     path: str
     n_entries: int = 0
@@ -26,24 +26,24 @@
 
 
 class Check(Command):
-    """Check a file offline: every fault is told, nothing is written."""
+    """Validate a file offline and report all faults; writes nothing."""
 
     name: ClassVar[str] = "check"
     summary: ClassVar[str] = "check a settings or a catalogue file, offline"
     example: ClassVar[str] = "corianderctl check --catalogue catalogue.yaml"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take one file, of one of the two kinds."""
+        """Add the options for the file, which exclude each other."""
         group = parser.add_mutually_exclusive_group(required=True)
         group.add_argument("--settings", type=Path, metavar="FILE")
         group.add_argument("--catalogue", type=Path, metavar="FILE")
 
     async def run(self, context: Context) -> Report:
-        """Check the file that the command line names."""
+        """Validate the given file."""
         arguments = context.arguments
         if arguments.settings:
             load_settings(arguments.settings)
-            return _good(CheckResult(str(arguments.settings)))
+            return _report_valid(CheckResult(str(arguments.settings)))
         return _check_catalogue(arguments.catalogue)
 
 
@@ -54,9 +54,9 @@
     if faults:
         text = "\n".join(f"{path}: {fault}" for fault in faults)
         raise CommandError(text, ExitCode.INVALID)
-    return _good(CheckResult(str(path), len(entries)))
+    return _report_valid(CheckResult(str(path), len(entries)))
 
 
-def _good(result: CheckResult) -> Report:
+def _report_valid(result: CheckResult) -> Report:
     counted = f", {result.n_entries} entries" if result.n_entries else ""
     return Report(result, notes=(f"{result.path}: good{counted}",))
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/codes.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/codes.py
@@ -19,16 +19,18 @@
     example: ClassVar[str] = "corianderctl codes 300"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take one code, or none for all."""
+        """Add the optional code; all codes by default."""
         parser.add_argument("code", type=int, nargs="?")
         parser.add_argument("--markdown", action="store_true")
 
     async def run(self, context: Context) -> Report:
-        """Look the codes up."""
-        asked = context.arguments.code
-        rows = [row for row in result_rows() if asked is None or row.code == asked]
+        """Look up the requested codes."""
+        requested = context.arguments.code
+        rows = [
+            row for row in result_rows() if requested is None or row.code == requested
+        ]
         if not rows:
-            raise CommandError(f"{asked}: no such result code", ExitCode.NOT_FOUND)
+            raise CommandError(f"unknown result code: {requested}", ExitCode.NOT_FOUND)
         text = to_markdown(rows).rstrip() if context.arguments.markdown else ""
         return Report(rows, tables=(_table(rows),), text=text)
 
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/command.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/command.py
@@ -1,7 +1,7 @@
-"""What every subcommand of ``corianderctl`` has in common.
+"""Base class and data types of the ``corianderctl`` subcommands.
 
-A command returns a ``Report``: rows for people and a value for programs. It never
-prints, so that its tests look at data.
+A command returns a ``Report``, with tables for people and a value for programs. It
+prints nothing itself, so that tests can check the data.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class CommandError(CorianderError):
-    """Signal that a command cannot go on; carries the exit code."""
+    """Raised when a command cannot continue; carries the exit code."""
 
     def __init__(self, text: str, exit_code: ExitCode) -> None:
         super().__init__(text)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Table:
-    """Hold rows for people; ``title`` stands above them."""
+    """A table for people, with an optional title above it."""
 
     columns: tuple[str, ...]
     rows: tuple[tuple[str, ...], ...]
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True)
 class Report:
-    """Hold what a command found or did."""
+    """Result of a command, for people and for programs."""
 
     value: Any
-    """What ``--output json`` prints: a data class, or a list of them."""
+    """Printed by ``--output json``: a data class or a list of them."""
     tables: tuple[Table, ...] = ()
     headline: tuple[str, ...] = ()
     """Lines for people, before the tables."""
@@ -48,12 +48,12 @@
     """Lines for people, after the tables."""
     exit_code: ExitCode = ExitCode.OK
     text: str = ""
-    """Printed as it is, in place of tables, where the output is a file."""
+    """Printed verbatim instead of the tables, such as a catalogue file."""
 
 
 @dataclass(frozen=True)
 class Context:
-    """Hold the outside systems that a command may use."""
+    """External systems and arguments that a command uses."""
 
     store: ObjectStore
     routers: RouterClient
@@ -61,17 +61,17 @@
 
 
 class Command(ABC):
-    """Be one subcommand: its words on the command line and what it does."""
+    """A subcommand: its arguments and its action."""
 
     name: ClassVar[str]
     summary: ClassVar[str]
-    """One line for the list of commands."""
+    """One-line description for the list of commands."""
     example: ClassVar[str]
-    """A command line that works, shown in the help."""
+    """Example command line, shown in the help."""
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Add the command's own arguments; override where it has any."""
+        """Add the command's arguments, if any."""
 
     @abstractmethod
     async def run(self, context: Context) -> Report:
-        """Do the work; raise ``CommandError`` or another ``CorianderError``."""
+        """Run the command; raise ``CommandError`` or another ``CorianderError``."""
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/diff.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/diff.py
@@ -1,4 +1,4 @@
-"""``corianderctl diff``: what applying a file would change."""
+"""``corianderctl diff``: show what applying a file would change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class DiffResult:
-    """Hold the differences between the accepted catalogue and a file."""
+    """Differences between the newest accepted catalogue and a file."""
 
     version: int
     differences: tuple[str, ...]
@@ -32,24 +32,24 @@
     example: ClassVar[str] = "corianderctl diff catalogue.yaml"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the file."""
+        """Add the file argument."""
         parser.add_argument("file", type=Path)
 
     async def run(self, context: Context) -> Report:
-        """Compare; the exit code tells whether anything differs."""
-        wanted = read_catalogue_file(context.arguments.file).entries
+        """Compare the two; the exit code shows whether they differ."""
+        new_entries = read_catalogue_file(context.arguments.file).entries
         base = await CatalogueEditor(context.store).newest()
-        towards = build_edit_from_entries(
-            Edit("diff", base.version, "", ""), base, wanted
+        edit = build_edit_from_entries(
+            Edit("diff", base.version, "", ""), base, new_entries
         )
-        lines = tuple(map(str, differences(towards, base)))
+        lines = tuple(map(str, differences(edit, base)))
         notes = lines or (f"no difference from version {base.version}",)
         code = ExitCode.DIFFERENT if lines else ExitCode.OK
         return Report(DiffResult(base.version, lines), notes=notes, exit_code=code)
 
 
 def differences(edit: Edit, base: Catalogue) -> list[EntryDifference]:
-    """Return what an edit does to its base, entry by entry."""
+    """Return the changes that an edit makes to its base, by entry."""
     found = [
         EntryDifference(key_of(entry), base.entries.get(key_of(entry)), entry)
         for entry in edit.put
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/drain.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/drain.py
@@ -1,4 +1,4 @@
-"""``corianderctl drain``: have a router finish its requests and leave."""
+"""``corianderctl drain``: shut a router down gracefully."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Drain(Command):
-    """Start a graceful shutdown of one router; no request is cut."""
+    """Start a graceful shutdown of one router, which completes its requests."""
 
     name: ClassVar[str] = "drain"
     summary: ClassVar[str] = "have a router finish its requests and leave"
     example: ClassVar[str] = "corianderctl drain router-2"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the router."""
+        """Add the router's name."""
         parser.add_argument("instance")
 
     async def run(self, context: Context) -> Report:
-        """Tell the router; it answers with its status while it drains."""
+        """Order the router to drain and report its status."""
         record = await find_router(context, context.arguments.instance)
         status = await context.routers.drain(record)
         note = f"{status.instance}: {status.state}, {status.n_in_flight} in flight"
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/exit_code.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/exit_code.py
@@ -1,4 +1,4 @@
-"""Exit codes of ``corianderctl``, so that scripts can tell what happened."""
+"""Exit codes of ``corianderctl``, for use in scripts."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @unique
 class ExitCode(IntEnum):
-    """Number how a command ended; ``docs/reference/corianderctl.md`` lists them."""
+    """Outcome of a command; listed in ``docs/reference/corianderctl.md``."""
 
     OK = 0
     FAILED = 1
-    """A fault of the program; report it."""
+    """A bug in the program, or an interrupt."""
     USAGE = 2
     """The command line is wrong; nothing was done."""
     INVALID = 3
-    """Settings or catalogue did not pass the check; nothing was done."""
+    """Settings or catalogue are invalid; nothing was done."""
     CONFLICT = 4
-    """Another operator's change came first; nothing was done."""
+    """Another change was accepted first; nothing was done."""
     UNAVAILABLE = 5
     """The store or a router did not answer; nothing was done."""
     UNKNOWN = 6
-    """Whether the edit was accepted is not known; run the same command again."""
+    """The edit may have been accepted; run the same command again."""
     NOT_IN_FORCE = 7
-    """Accepted, but some instance did not report it in force in time."""
+    """Accepted, but not in force on all routers before the timeout."""
     NOT_FOUND = 8
     """No such entry, change, instance or decision."""
     DIFFERENT = 9
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/explain.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/explain.py
@@ -1,4 +1,4 @@
-"""``corianderctl explain``: why a request went where it went, and on whose word."""
+"""``corianderctl explain``: show a routing decision and its audit trail."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class EntryTrace:
-    """Hold an entry that a decision rested on, with the change that put it there."""
+    """An entry that a decision used, and the change that last wrote it."""
 
     entry: str
     owner: str
@@ -34,56 +34,56 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """Hold a decision and the audit trail behind it."""
+    """A decision and the audit trail of the entries it used."""
 
     decision: DecisionReport
     trace: tuple[EntryTrace, ...]
 
 
 class Explain(Command):
-    """Trace a decision id to candidates, attempts, entries, owners and times."""
+    """Show the candidates, attempts, entries, owners and times of a decision."""
 
     name: ClassVar[str] = "explain"
     summary: ClassVar[str] = "explain one decision of a router"
     example: ClassVar[str] = "corianderctl explain router-1-18f2-42"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the id that the answer's header named."""
+        """Add the decision id, which responses carry in a header."""
         parser.add_argument("decision_id")
 
     async def run(self, context: Context) -> Report:
-        """Find the router that remembers the decision, and the changes behind it."""
-        decision = await _find(context, context.arguments.decision_id)
+        """Fetch the decision from its router and its changes from the store."""
+        decision = await _fetch_decision(context, context.arguments.decision_id)
         log = CatalogueLog(context.store)
-        trace = tuple([await _trace(log, item) for item in decision.rested_on])
+        trace = tuple([await _trace_entry(log, item) for item in decision.rested_on])
         return _report(Explanation(decision, trace))
 
 
-async def _find(context: Context, decision_id: str) -> DecisionReport:
-    """Ask the routers in turn; one that is gone took its decisions with it."""
+async def _fetch_decision(context: Context, decision_id: str) -> DecisionReport:
+    """Query the routers in turn; decisions are lost when their router ends."""
     problems = []
-    for record in _likely_first(await list_routers(context), decision_id):
+    for record in _by_likelihood(await list_routers(context), decision_id):
         try:
             return await context.routers.decision(record, decision_id)
         except CorianderError as exc:
             problems.append(str(exc))
     raise CommandError(
-        f"no router remembers decision {decision_id}; routers keep the last ones only\n"
-        + "\n".join(problems),
+        f"decision {decision_id} not found on any router; routers keep only recent "
+        "decisions\n" + "\n".join(problems),
         ExitCode.NOT_FOUND,
     )
 
 
-def _likely_first(
+def _by_likelihood(
     routers: list[InstanceRecord], decision_id: str
 ) -> list[InstanceRecord]:
-    """Return the routers, the one whose name the id starts with first."""
+    """Return the routers, first the one whose name is a prefix of the id."""
     return sorted(routers, key=lambda item: not decision_id.startswith(item.instance))
 
 
-async def _trace(log: CatalogueLog, item: EntryReference) -> EntryTrace:
+async def _trace_entry(log: CatalogueLog, item: EntryReference) -> EntryTrace:
     stored = None
-    # The decision itself is worth showing while the store is down.
+    # The decision is still useful without its audit trail while the store is down.
     with contextlib.suppress(StoreError):
         stored = await log.change(item.changed_in) if item.changed_in else None
     if stored is None:
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/history.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/history.py
@@ -1,4 +1,4 @@
-"""``corianderctl history``: the audit trail of accepted changes."""
+"""``corianderctl history``: print the audit trail of accepted changes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .command import Command, Context, Report, Table
 
 DEFAULT_LIMIT: Final = 50
-"""Changes that are read unless the command line says otherwise."""
+"""Default of ``--limit``."""
 
 
 @dataclass(frozen=True)
 class ChangeView:
-    """Hold one accepted change as an auditor reads it."""
+    """An accepted change as shown in the audit trail."""
 
     version: int
     accepted_at: str
@@ -32,32 +32,38 @@
 
 
 class History(Command):
-    """Print who changed what, when, why, and who answers for it."""
+    """Print each change with its time, author, owner and reason."""
 
     name: ClassVar[str] = "history"
     summary: ClassVar[str] = "print the audit trail of accepted changes"
     example: ClassVar[str] = "corianderctl history --entry account/northwest-charcoal"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take where to start and what to look for."""
+        """Add the start version, the limit and the entry to filter by."""
         parser.add_argument(
-            "--after", type=int, default=0, metavar="VERSION", help="start after it"
+            "--after",
+            type=int,
+            default=0,
+            metavar="VERSION",
+            help="start after this version",
         )
         parser.add_argument("--limit", type=int, default=DEFAULT_LIMIT)
-        parser.add_argument("--entry", metavar="KIND/NAME", help="only its changes")
+        parser.add_argument(
+            "--entry", metavar="KIND/NAME", help="only changes of this entry"
+        )
 
     async def run(self, context: Context) -> Report:
-        """Read the changes from the store; each is its own audit record."""
+        """Read the changes, which are the audit records, from the store."""
         arguments = context.arguments
         editor = CatalogueEditor(context.store)
         changes = await editor.history(arguments.after, arguments.limit)
         if arguments.entry:
-            changes = _of_entry(changes, key_from_str(arguments.entry))
+            changes = _filter_by_entry(changes, key_from_str(arguments.entry))
         views = tuple(map(_view, changes))
         return Report(views, tables=(_table(views),))
 
 
-def _of_entry(changes: list[Change], key: EntryKey) -> list[Change]:
+def _filter_by_entry(changes: list[Change], key: EntryKey) -> list[Change]:
     return [change for change in changes if key in changed_keys(change)]
 
 
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/in_force.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/in_force.py
@@ -1,4 +1,4 @@
-"""Ask all routers which catalogue version they decide under."""
+"""Query all routers for the catalogue version that they up_to_date in force."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .router_list import list_routers
 
 POLL_S: Final = 0.2
-"""Seconds between two rounds of questions while waiting."""
+"""Seconds between polls of the routers while waiting."""
 
 
 @dataclass(frozen=True)
 class RouterAnswer:
-    """Hold what one router of the platform's list answered, or why it did not."""
+    """Status of a listed router, or the reason why it is missing."""
 
     record: InstanceRecord
     status: RouterStatus | None = None
@@ -29,21 +29,21 @@
 
 @dataclass(frozen=True)
 class InForceResult:
-    """Hold which routers have a version, or a later one, in force."""
+    """Routers that up_to_date a version or a later one in force, and those that lag."""
 
     in_force_on: tuple[str, ...]
     lagging: tuple[str, ...]
 
 
-async def ask_routers(context: Context) -> list[RouterAnswer]:
-    """Return the answer of every router in the platform's list, by name.
+async def query_routers(context: Context) -> list[RouterAnswer]:
+    """Query the status of all listed routers; return the answers in list order.
 
-    The list lags: a router in it may be gone, which shows as an answer with a problem.
+    The list may be stale: a router that has ended yields an answer with a problem.
     """
     routers = await list_routers(context)
     answers: dict[str, RouterAnswer] = {}
 
-    async def ask(record: InstanceRecord) -> None:
+    async def query(record: InstanceRecord) -> None:
         try:
             status = await context.routers.status(record)
         except CorianderError as exc:
@@ -53,34 +53,34 @@
 
     async with trio.open_nursery() as nursery:
         for record in routers:
-            nursery.start_soon(ask, record)
+            nursery.start_soon(query, record)
     return [answers[record.instance] for record in routers]
 
 
 async def wait_in_force(
     context: Context, version: int, timeout_s: float
 ) -> InForceResult:
-    """Return once all routers have the version in force, or at the timeout.
+    """Wait until all routers up_to_date the version in force, up to the timeout.
 
-    A router that is leaving is not waited for. One that does not answer counts as
-    lagging, since it may be serving callers that cannot tell.
+    Routers that are leaving are ignored. One that does not answer counts as lagging,
+    since it may still serve callers with an old version.
     """
     result = InForceResult((), ())
     with trio.move_on_after(timeout_s):
         while True:
-            result = _sort(await ask_routers(context), version)
+            result = _split_by_version(await query_routers(context), version)
             if not result.lagging:
                 break
             await trio.sleep(POLL_S)
     return result
 
 
-def _sort(answers: list[RouterAnswer], version: int) -> InForceResult:
-    have: list[str] = []
-    lack: list[str] = []
+def _split_by_version(answers: list[RouterAnswer], version: int) -> InForceResult:
+    up_to_date: list[str] = []
+    lagging: list[str] = []
     for answer in answers:
         if answer.record.presence is Presence.LEAVING:
             continue
         current = answer.status.catalogue_version if answer.status else -1
-        (have if current >= version else lack).append(answer.record.instance)
-    return InForceResult(tuple(have), tuple(lack))
+        (up_to_date if current >= version else lagging).append(answer.record.instance)
+    return InForceResult(tuple(up_to_date), tuple(lagging))
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/losses.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/losses.py
@@ -1,7 +1,7 @@
-"""``corianderctl losses``: where requests were lost, by the routers' logs.
+"""``corianderctl losses``: count late and failed requests in the routers' logs.
 
-It reads the lines that routers write at the end of each request, and says by route, by
-second and by reason which ones were not answered in time.
+It reads the lines that routers log at the end of each request, and counts by route,
+second and reason the requests that were not answered in time.
 """
 
 from __future__ import annotations
@@ -21,88 +21,88 @@
 
 
 class Reason(Enum):
-    """Say what became of a request."""
+    """Outcome of a request, or the reason for its loss."""
 
     IN_TIME = "in time"
-    LATE_FIRST = "late: first event"
+    LATE_FIRST_EVENT = "late: first event"
     LATE_PAUSE = "late: pause"
     LATE_MOVE = "late: pause of a move"
     REFUSED_QUEUE = "refused: queue"
-    REFUSED_ENGINES = "refused: no engine"
+    REFUSED_NO_ENGINE = "refused: no engine"
     REFUSED_OTHER = "refused: other"
     BROKEN = "broken by an upstream"
-    SILENT = "silent upstream"
+    UNRESPONSIVE = "silent upstream"
     FAILED = "failed by an upstream"
-    OVERDUE = "its time was over"
-    LEFT = "its caller left"
+    DEADLINE_EXCEEDED = "its time was over"
+    CALLER_LEFT = "its caller left"
 
 
 MAX_BARS: Final = 600
-"""Bars of a plot at most; a longer time has several seconds a bar."""
+"""Maximum number of bars in a plot; longer logs get several seconds per bar."""
 
 _OUTCOMES: Final = {
     "broken": Reason.BROKEN,
     "wronganswer": Reason.BROKEN,
-    "silent": Reason.SILENT,
+    "silent": Reason.UNRESPONSIVE,
     "serverfailure": Reason.FAILED,
-    "abandoned": Reason.OVERDUE,
+    "abandoned": Reason.DEADLINE_EXCEEDED,
 }
-"""By the outcome of the last attempt of a request that failed."""
+"""Reason by the outcome of a failed request's last attempt."""
 
 
 @dataclass(frozen=True)
-class Loss:
-    """Hold one request as the report counts it."""
+class CountedRequest:
+    """A request as counted in the report."""
 
     begun_at: float
     """Unix seconds, by its router's clock."""
     route: str
     reason: Reason
     first_ms: float | None
-    """Time to the first byte of its answer."""
+    """Time to the first byte of the answer, in milliseconds."""
     estimate_ms: float | None
-    """What was expected; only for answers of a single attempt."""
+    """Estimate of ``first_ms``; only for requests with a single attempt."""
 
 
 class Losses(Command):
-    """Report where requests were lost and why."""
+    """Report late and failed requests by route, second and reason."""
 
     name: ClassVar[str] = "losses"
     summary: ClassVar[str] = "say where requests were lost, by the routers' logs"
     example: ClassVar[str] = "corianderctl losses --logs router-*.log --plot lost.svg"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the files, and where to draw."""
+        """Add the log files, the route and the file for the plot."""
         parser.add_argument(
             "--logs", type=Path, nargs="+", required=True, help="files with log lines"
         )
-        parser.add_argument("--route", default="", help="count this route alone")
+        parser.add_argument("--route", default="", help="count only this route")
         parser.add_argument(
-            "--plot", type=Path, metavar="FILE", help="draw the losses by second"
+            "--plot", type=Path, metavar="FILE", help="plot the requests by second"
         )
 
     async def run(self, context: Context) -> Report:
-        """Read the files and report."""
+        """Read the log files, write the plot if requested, and report."""
         arguments = context.arguments
         lines = (line for path in arguments.logs for line in read_lines(path))
-        losses = [
-            loss for loss in losses_of(lines) if arguments.route in ("", loss.route)
+        requests = [
+            req for req in counted_requests(lines) if arguments.route in ("", req.route)
         ]
-        if not losses:
+        if not requests:
             raise CommandError(
-                "no request of a route in these files; name files with log lines, and "
-                "a route as the configuration has it",
+                "no request of a route in these files; give files with log lines, and "
+                "a route that the configuration defines",
                 ExitCode.NOT_FOUND,
             )
         if arguments.plot:
-            write_plot(losses, arguments.plot)
-        return report(losses)
+            write_plot(requests, arguments.plot)
+        return report(requests)
 
 
-def losses_of(lines: Iterable[LogLine]) -> list[Loss]:
-    """Return the requests of known routes that the lines tell of."""
+def counted_requests(lines: Iterable[LogLine]) -> list[CountedRequest]:
+    """Return the requests on known routes that the lines describe."""
     return [
-        _loss(line)
+        _counted_request(line)
         for line in lines
         if line.kind == REQUEST_LINE
         and line.fields.get("route")
@@ -110,14 +110,14 @@
     ]
 
 
-def _loss(line: LogLine) -> Loss:
+def _counted_request(line: LogLine) -> CountedRequest:
     fields = line.fields
-    told = fields.get("attempts")
+    logged = fields.get("attempts")
     attempts = (
-        [a for a in told if isinstance(a, dict)] if isinstance(told, list) else []
+        [a for a in logged if isinstance(a, dict)] if isinstance(logged, list) else []
     )
     estimate = _number(attempts[0].get("estimate_ms")) if len(attempts) == 1 else None
-    return Loss(
+    return CountedRequest(
         begun_at=line.at - (_number(fields.get("took_ms")) or 0.0) / 1000,
         route=str(fields["route"]),
         reason=_reason(fields, attempts),
@@ -127,7 +127,7 @@
 
 
 def _number(value: Any) -> float | None:
-    """Return a finite number of a log line; None for anything else."""
+    """Return a value of a log line if it is a finite number, else None."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     return float(value) if math.isfinite(value) else None
@@ -139,44 +139,44 @@
     if result == "OK":
         return _lateness(fields, outcomes)
     if result == "CALLER_GONE":
-        return Reason.LEFT
+        return Reason.CALLER_LEFT
     if result == "QUEUE_FULL":
         return Reason.REFUSED_QUEUE
     if result == "NO_UPSTREAM":
-        return Reason.REFUSED_ENGINES
+        return Reason.REFUSED_NO_ENGINE
     if fields.get("status") in (401, 404, 429, 503):
         return Reason.REFUSED_OTHER
-    return _OUTCOMES.get(outcomes[-1] if outcomes else "", Reason.OVERDUE)
+    return _OUTCOMES.get(outcomes[-1] if outcomes else "", Reason.DEADLINE_EXCEEDED)
 
 
 def _lateness(fields: dict[str, Any], outcomes: Sequence[str]) -> Reason:
-    """Return how an answer was late; one without an objective never is."""
+    """Return how an answer was late; without an objective it never is."""
     first = _number(fields.get("first_ms"))
     objective = _number(fields.get("objective_ms"))
     if first is not None and objective is not None and first > objective:
-        return Reason.LATE_FIRST
+        return Reason.LATE_FIRST_EVENT
     pause = _number(fields.get("longest_pause_ms"))
-    most = _number(fields.get("pause_objective_ms"))
-    if pause is None or most is None or pause <= most:
+    pause_objective = _number(fields.get("pause_objective_ms"))
+    if pause is None or pause_objective is None or pause <= pause_objective:
         return Reason.IN_TIME
     moved = {"moved", "restarted"} & set(outcomes)
     return Reason.LATE_MOVE if moved else Reason.LATE_PAUSE
 
 
-def report(losses: Sequence[Loss]) -> Report:
-    """Return the tables by route, by second and of the estimates."""
-    n_in_time = sum(loss.reason is Reason.IN_TIME for loss in losses)
+def report(requests: Sequence[CountedRequest]) -> Report:
+    """Build the report: tables by route, by second and of the estimates."""
+    n_in_time = sum(req.reason is Reason.IN_TIME for req in requests)
     headline = (
-        f"{len(losses)} requests as their routers saw them, {n_in_time} in time; one "
+        f"{len(requests)} requests as their routers saw them, {n_in_time} in time; one "
         "that came back counts again",
     )
-    tables = (_by_route(losses), _by_second(losses), _estimates(losses))
-    return Report(tuple(losses), tables=tables, headline=headline)
+    tables = (_by_route(requests), _by_second(requests), _estimates(requests))
+    return Report(tuple(requests), tables=tables, headline=headline)
 
 
-def _by_route(losses: Sequence[Loss]) -> Table:
-    counts = Counter((loss.route, loss.reason) for loss in losses)
-    totals = Counter(loss.route for loss in losses)
+def _by_route(requests: Sequence[CountedRequest]) -> Table:
+    counts = Counter((req.route, req.reason) for req in requests)
+    totals = Counter(req.route for req in requests)
     rows = tuple(
         (route, reason.value, str(counts[route, reason]), f"{share:.1%}")
         for route in sorted(totals)
@@ -186,9 +186,9 @@
     return Table(("route", "what", "requests", "of its route"), rows, "By route")
 
 
-def _by_second(losses: Sequence[Loss]) -> Table:
-    start = min(loss.begun_at for loss in losses)
-    counts = Counter((int(loss.begun_at - start), loss.reason) for loss in losses)
+def _by_second(requests: Sequence[CountedRequest]) -> Table:
+    start = min(req.begun_at for req in requests)
+    counts = Counter((int(req.begun_at - start), req.reason) for req in requests)
     seconds = sorted({second for second, _ in counts})
     rows = tuple(
         (
@@ -205,12 +205,12 @@
     return Table(("second", "requests", "lost"), rows, "By second of their beginning")
 
 
-def _estimates(losses: Sequence[Loss]) -> Table:
-    """Return how the time to the first byte compares with what was expected."""
+def _estimates(requests: Sequence[CountedRequest]) -> Table:
+    """Return quantiles of the time to the first byte relative to its estimate."""
     ratios: dict[str, list[float]] = {}
-    for loss in losses:
-        if loss.first_ms is not None and loss.estimate_ms:
-            ratios.setdefault(loss.route, []).append(loss.first_ms / loss.estimate_ms)
+    for req in requests:
+        if req.first_ms is not None and req.estimate_ms:
+            ratios.setdefault(req.route, []).append(req.first_ms / req.estimate_ms)
     rows = tuple(
         (
             route,
@@ -227,24 +227,24 @@
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
-def write_plot(losses: Sequence[Loss], path: Path) -> None:
-    """Draw the requests by second and reason; the file's ending says the format."""
+def write_plot(requests: Sequence[CountedRequest], path: Path) -> None:
+    """Plot the requests by second and reason; the file suffix selects the format."""
     try:
         import matplotlib
     except ImportError as exc:
         raise CommandError(
-            "--plot needs matplotlib; install it or leave --plot out", ExitCode.USAGE
+            "--plot requires matplotlib; install it or omit --plot", ExitCode.USAGE
         ) from exc
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    start = min(loss.begun_at for loss in losses)
+    start = min(req.begun_at for req in requests)
     begun = {
-        reason: [loss.begun_at - start for loss in losses if loss.reason is reason]
+        reason: [req.begun_at - start for req in requests if req.reason is reason]
         for reason in Reason
     }
     shown = [reason for reason in Reason if begun[reason]]
-    n_seconds = int(max(loss.begun_at for loss in losses) - start) + 1
+    n_seconds = int(max(req.begun_at for req in requests) - start) + 1
     figure, axes = pyplot.subplots(figsize=(10, 4.5), layout="constrained")
     axes.hist(
         [begun[reason] for reason in shown],
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/output.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/output.py
@@ -1,4 +1,4 @@
-"""Print a report for people or for programs."""
+"""Render a report as tables or as JSON."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .command import Report, Table
 
 OUTPUTS: Final = ("table", "json")
-"""What ``--output`` takes."""
+"""Values of ``--output``."""
 
 
 def render(report: Report, output: str) -> str:
-    """Return the text that a command prints."""
+    """Return the report as text in the given format."""
     if output == "json":
         return json.dumps(to_plain(report.value), indent=2, ensure_ascii=False)
     if report.text:
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/router_client.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/router_client.py
@@ -1,4 +1,4 @@
-"""Ask the routers' admin paths, with the operators' key."""
+"""Client of the routers' admin API, authorized by the operator key."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 T = TypeVar("T")
 
 TIMEOUT_S: Final = 5.0
-"""Longest wait for a router's answer, in seconds."""
+"""Timeout of one call to a router, in seconds."""
 
 
 class RouterUnreachableError(CorianderError):
-    """Signal that a router did not answer; it may be gone or cut off."""
+    """Raised when a router did not answer; it may have ended or be unreachable."""
 
     code = ResultCode.NOT_READY
 
 
 class RouterRefusedError(CorianderError):
-    """Signal that a router answered with an error, such as a wrong operator key."""
+    """Raised when a router answers with an error, such as for a wrong key."""
 
     code = ResultCode.FORBIDDEN
 
@@ -35,23 +35,25 @@
 
 
 class RouterClient:
-    """Call the admin paths of routers."""
+    """Calls the admin API of routers."""
 
     def __init__(self, client: httpx.AsyncClient, operator_key: str) -> None:
         self._client = client
         self._headers = {"authorization": f"Bearer {operator_key}"}
 
     async def status(self, router: InstanceRecord) -> RouterStatus:
-        """Return what the router says about itself."""
+        """Return the router's status."""
         return await self._call(RouterStatus, "GET", router, "/admin/status")
 
-    async def decision(self, router: InstanceRecord, name: str) -> DecisionReport:
-        """Return one decision that the router remembers."""
-        path = f"/admin/decisions/{name}"
+    async def decision(
+        self, router: InstanceRecord, decision_id: str
+    ) -> DecisionReport:
+        """Return a recent decision of the router by its id."""
+        path = f"/admin/decisions/{decision_id}"
         return await self._call(DecisionReport, "GET", router, path)
 
     async def drain(self, router: InstanceRecord) -> RouterStatus:
-        """Have the router finish its requests and leave."""
+        """Order the router to drain; return its status."""
         return await self._call(RouterStatus, "POST", router, "/admin/drain")
 
     async def _call(
@@ -65,7 +67,7 @@
         except httpx.HTTPError as exc:
             raise RouterUnreachableError(
                 f"{router.instance} at {router.address} did not answer "
-                f"({type(exc).__name__}); check that it runs"
+                f"({type(exc).__name__}); check that it is running"
             ) from exc
         if answer.is_error:
             raise RouterRefusedError(
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/router_list.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/router_list.py
@@ -1,4 +1,4 @@
-"""Find the routers to ask: the platform's list, or addresses on the command line."""
+"""Find the routers to query: from the platform's list or the command line."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 async def list_routers(context: Context) -> list[InstanceRecord]:
-    """Return the routers, by name.
+    """Return the routers from ``--router``, or the listed ones sorted by name.
 
-    Addresses given with ``--router`` take the place of the platform's list, so that
-    status can be read while the platform's service is down.
+    Addresses given with ``--router`` replace the platform's list, so that the status
+    can be read while the platform service is down.
     """
     addresses = context.arguments.router
     if addresses:
-        return [_at(address) for address in addresses]
+        return [_record_of_address(address) for address in addresses]
     listed = await context.store.instances()
     routers = [item for item in listed.instances if item.role is Role.ROUTER]
     return sorted(routers, key=lambda item: item.instance)
@@ -28,10 +28,11 @@
         if record.instance == name:
             return record
     raise CommandError(
-        f"{name}: not a router in the platform's list; corianderctl status lists them",
+        f"{name}: not a router in the platform's list; list routers with corianderctl "
+        "status",
         ExitCode.NOT_FOUND,
     )
 
 
-def _at(address: str) -> InstanceRecord:
+def _record_of_address(address: str) -> InstanceRecord:
     return InstanceRecord(InstanceId(address), Role.ROUTER, "", "", address)
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/settings.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/settings.py
@@ -1,4 +1,4 @@
-"""``corianderctl settings``: the reference of a router's settings."""
+"""``corianderctl settings``: print the reference of the router settings."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Settings(Command):
-    """Print every field of the settings with its type, range, default and meaning."""
+    """Print each setting with its type, range, default and meaning."""
 
     name: ClassVar[str] = "settings"
     summary: ClassVar[str] = "print the reference of a router's settings"
     example: ClassVar[str] = "corianderctl settings listen"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the start of the wanted fields' paths."""
+        """Add the optional prefix of the settings' paths."""
         parser.add_argument("prefix", nargs="?", default="")
         parser.add_argument("--markdown", action="store_true")
 
     async def run(self, context: Context) -> Report:
-        """Read the fields from the classes that check them."""
+        """List the fields of the settings classes."""
         prefix = context.arguments.prefix
         rows = [row for row in setting_rows() if row.path.startswith(prefix)]
         text = to_markdown(rows).rstrip() if context.arguments.markdown else ""
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/status.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/status.py
@@ -1,4 +1,4 @@
-"""``corianderctl status``: what every router has in force and knows."""
+"""``corianderctl status``: show the state of each router."""
 
 from __future__ import annotations
 
@@ -10,34 +10,37 @@
 
 from .command import Command, CommandError, Context, Report, Table
 from .exit_code import ExitCode
-from .in_force import RouterAnswer, ask_routers, wait_in_force
+from .in_force import RouterAnswer, query_routers, wait_in_force
 
 
 class Status(Command):
-    """Print a line a router; ``--instance`` shows one in full."""
+    """Print one line per router; ``--instance`` shows one router in full."""
 
     name: ClassVar[str] = "status"
     summary: ClassVar[str] = "show what each instance has in force"
     example: ClassVar[str] = "corianderctl status --wait-for 12 --timeout 13"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take one instance to look at, or a version to wait for."""
+        """Add the instance to show, the version to wait for and the timeout."""
         parser.add_argument("--instance", help="show one router in full")
         parser.add_argument(
-            "--wait-for", type=int, metavar="VERSION", help="wait until all have it"
+            "--wait-for",
+            type=int,
+            metavar="VERSION",
+            help="wait until all routers have this version in force",
         )
         parser.add_argument("--timeout", type=float, default=13.0, metavar="SECONDS")
 
     async def run(self, context: Context) -> Report:
-        """Ask the routers of the platform's list."""
+        """Query the routers, after waiting for a version if requested."""
         arguments = context.arguments
         exit_code = ExitCode.OK
         if arguments.wait_for is not None:
             found = await wait_in_force(context, arguments.wait_for, arguments.timeout)
             exit_code = ExitCode.NOT_IN_FORCE if found.lagging else ExitCode.OK
-        answers = await ask_routers(context)
+        answers = await query_routers(context)
         if arguments.instance:
-            return _one(answers, arguments.instance)
+            return _report_one(answers, arguments.instance)
         value = [_plain(answer) for answer in answers]
         return Report(value, tables=(_overview(answers),), exit_code=exit_code)
 
@@ -80,7 +83,7 @@
     )
 
 
-def _one(answers: list[RouterAnswer], name: str) -> Report:
+def _report_one(answers: list[RouterAnswer], name: str) -> Report:
     for answer in answers:
         if answer.record.instance != name:
             continue
@@ -89,7 +92,8 @@
         tables = (_overview([answer]), *_details(answer.status))
         return Report(answer.status, tables=tables)
     raise CommandError(
-        f"{name}: not a router in the platform's list; corianderctl status lists them",
+        f"{name}: not a router in the platform's list; list routers with corianderctl "
+        "status",
         ExitCode.NOT_FOUND,
     )
 
--- a/packages/corianderlb-ctl/src/corianderlb_ctl/trace.py
+++ b/packages/corianderlb-ctl/src/corianderlb_ctl/trace.py
@@ -1,6 +1,6 @@
-"""``corianderctl trace``: from the id of a request to its cause, by the routers' logs.
+"""``corianderctl trace``: show what the routers' logs record about a request.
 
-It works on files alone, long after the routers are gone.
+It reads log files only and needs no running router.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from .command import Command, CommandError, Context, Report, Table
 from .exit_code import ExitCode
 
-BEFORE_S: Final = 5.0
-"""How long before a request its router's changes of state are shown by default."""
+DEFAULT_BEFORE_S: Final = 5.0
+"""Default of ``--before``, in seconds."""
 
 REQUEST_LINE: Final = "request:ended"
-"""Message type of the line that a router writes at the end of each request."""
+"""Message type of the line that a router logs at the end of each request."""
 
-_OWN_FIELDS: Final = frozenset({"timestamp", "message_type", "node"})
+_COMMON_FIELDS: Final = frozenset({"timestamp", "message_type", "node"})
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """Hold one line of a router's log."""
+    """One line of a router's log."""
 
     at: float
     """Unix seconds, by the router's clock."""
@@ -37,23 +37,23 @@
 
 @dataclass(frozen=True)
 class RequestTrace:
-    """Hold what the logs say of one request."""
+    """Log lines that concern one request."""
 
     requests: tuple[LogLine, ...]
-    """Its lines, oldest first: one for each time that a caller sent it."""
+    """Lines of the request, oldest first: one each time a caller sent it."""
     changes: tuple[LogLine, ...]
-    """What its routers came to believe shortly before and meanwhile."""
+    """State changes of its routers shortly before and during the request."""
 
 
 class Trace(Command):
-    """Show a request's outcome, its attempts and what its router believed."""
+    """Show a request's outcome, its attempts and its router's state changes."""
 
     name: ClassVar[str] = "trace"
     summary: ClassVar[str] = "trace a request through the routers' logs"
     example: ClassVar[str] = "corianderctl trace 9c41d07be2a35f68 --logs router-*.log"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
-        """Take the request's id and the files."""
+        """Add the request id, the log files and the time window."""
         parser.add_argument("request_id")
         parser.add_argument(
             "--logs", type=Path, nargs="+", required=True, help="files with log lines"
@@ -61,20 +61,20 @@
         parser.add_argument(
             "--before",
             type=float,
-            default=BEFORE_S,
+            default=DEFAULT_BEFORE_S,
             metavar="SECONDS",
-            help=f"show changes up to this long before ({BEFORE_S:g})",
+            help=f"show state changes from this long before ({DEFAULT_BEFORE_S:g})",
         )
 
     async def run(self, context: Context) -> Report:
-        """Read the files and report."""
+        """Read the log files and report on the request."""
         arguments = context.arguments
         lines = [line for path in arguments.logs for line in read_lines(path)]
         return _report(trace(lines, arguments.request_id, arguments.before))
 
 
 def read_lines(path: Path) -> Iterator[LogLine]:
-    """Yield the log lines of a file; what is no log line is passed over."""
+    """Yield the log lines of a file, skipping all other lines."""
     try:
         text = path.read_text(encoding="utf-8", errors="replace")
     except OSError as exc:
@@ -85,12 +85,12 @@
             kind, at = str(plain["message_type"]), float(plain["timestamp"])
         except (ValueError, KeyError, TypeError):
             continue
-        fields = {k: v for k, v in plain.items() if k not in _OWN_FIELDS}
+        fields = {k: v for k, v in plain.items() if k not in _COMMON_FIELDS}
         yield LogLine(at, str(plain.get("node", "")), kind, fields)
 
 
 def trace(lines: list[LogLine], request_id: str, before_s: float) -> RequestTrace:
-    """Return what the lines say of a request."""
+    """Return the lines of a request and the state changes around it."""
     requests = sorted(
         (
             line
@@ -101,8 +101,8 @@
     )
     if not requests:
         raise CommandError(
-            f"no line of request {request_id} in these files; lines can be left out "
-            "under load, which log:left_out counts",
+            f"no line of request {request_id} in these files; routers may drop lines "
+            "under load, and count them in log:left_out",
             ExitCode.NOT_FOUND,
         )
     changes = sorted(
--- a/packages/corianderlb-ctl/tests/test_command_words.py
+++ b/packages/corianderlb-ctl/tests/test_command_words.py
@@ -189,7 +189,7 @@
         self.assertEqual(variables(CTL), wanted)
 
     def test_json_fields(self) -> None:
-        """What the commands print as JSON keeps its fields."""
+        """The JSON output of the commands keeps its fields."""
         self.assertEqual(data_fields(corianderlb_ctl), lines(JSON_FIELDS))
 
     def test_enums(self) -> None:
@@ -198,7 +198,7 @@
         self.assertEqual(enum_values(corianderlb_ctl), wanted)
 
     def test_paths(self) -> None:
-        """The paths that routers are asked at stay."""
+        """The paths of the routers' admin API stay."""
         self.assertEqual(slashed_texts(CTL), lines(SLASHED))
 
     def test_map_keys(self) -> None:
@@ -208,7 +208,7 @@
 
 
 def command_words() -> list[str]:
-    """Return command, option or argument, count and choices, a line each."""
+    """Return command, option or argument, count and choices, one line each."""
     found = []
     for action in build_parser()._actions:
         if isinstance(action, argparse._SubParsersAction):
--- a/packages/corianderlb-ctl/tests/test_examples.py
+++ b/packages/corianderlb-ctl/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example files pass the checks that operators run."""
+"""The example files pass ``corianderctl check``."""
 
 from __future__ import annotations
 
--- a/packages/corianderlb-ctl/tests/test_losses.py
+++ b/packages/corianderlb-ctl/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, by log files alone."""
+"""Tests of ``corianderctl losses`` on log files."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from hypothesis import strategies as st
 
 from corianderlb_ctl._main import main
-from corianderlb_ctl.losses import Reason, losses_of, report
+from corianderlb_ctl.losses import Reason, counted_requests, report
 from corianderlb_ctl.trace import LogLine
 
 
 def a_line(**fields: Any) -> LogLine:
-    """Build the line of a request that was answered in time."""
+    """Return the line of a request that was answered in time."""
     defaults = {
         "route": "long",
         "result": "OK",
@@ -35,7 +35,7 @@
 
 
 def attempts(*outcomes: str) -> list[dict[str, str]]:
-    """Build the attempts of a request by their outcomes."""
+    """Return attempts with the given outcomes."""
     return [{"outcome": outcome} for outcome in outcomes]
 
 
@@ -43,7 +43,7 @@
     def test_reasons(self) -> None:
         for expected, fields in (
             (Reason.IN_TIME, {}),
-            (Reason.LATE_FIRST, {"first_ms": 401}),
+            (Reason.LATE_FIRST_EVENT, {"first_ms": 401}),
             (Reason.LATE_PAUSE, {"longest_pause_ms": 301}),
             (
                 Reason.LATE_MOVE,
@@ -51,7 +51,7 @@
             ),
             (Reason.IN_TIME, {"longest_pause_ms": 900, "pause_objective_ms": None}),
             (Reason.REFUSED_QUEUE, {"result": "QUEUE_FULL", "status": 503}),
-            (Reason.REFUSED_ENGINES, {"result": "NO_UPSTREAM", "status": 503}),
+            (Reason.REFUSED_NO_ENGINE, {"result": "NO_UPSTREAM", "status": 503}),
             (Reason.REFUSED_OTHER, {"result": "DRAINING", "status": 503}),
             (
                 Reason.BROKEN,
@@ -61,21 +61,21 @@
                 Reason.FAILED,
                 {"result": "UPSTREAM_FAILED", "attempts": attempts("serverfailure")},
             ),
-            (Reason.OVERDUE, {"result": "DEADLINE_EXCEEDED", "status": 504}),
-            (Reason.LEFT, {"result": "CALLER_GONE"}),
+            (Reason.DEADLINE_EXCEEDED, {"result": "DEADLINE_EXCEEDED", "status": 504}),
+            (Reason.CALLER_LEFT, {"result": "CALLER_GONE"}),
         ):
-            (loss,) = losses_of([a_line(**fields)])
-            self.assertIs(loss.reason, expected, fields)
+            (req,) = counted_requests([a_line(**fields)])
+            self.assertIs(req.reason, expected, fields)
 
-    def test_estimate_of_a_single_attempt_alone(self) -> None:
-        (loss,) = losses_of([a_line()])
-        self.assertEqual((loss.first_ms, loss.estimate_ms), (100.0, 50.0))
-        (loss,) = losses_of([a_line(attempts=attempts("broken", "ok"))])
-        self.assertIsNone(loss.estimate_ms)
+    def test_estimate_only_with_a_single_attempt(self) -> None:
+        (req,) = counted_requests([a_line()])
+        self.assertEqual((req.first_ms, req.estimate_ms), (100.0, 50.0))
+        (req,) = counted_requests([a_line(attempts=attempts("broken", "ok"))])
+        self.assertIsNone(req.estimate_ms)
 
     def test_any_fields_give_a_report(self) -> None:
-        # Lines of an older router lack fields, and files are edited by hand. One wrong
-        # line must not hide what the others tell.
+        # Older routers lack fields, and files may be edited by hand: one invalid line
+        # must not prevent the report on the others.
         json_values = (
             st.none()
             | st.booleans()
@@ -91,16 +91,16 @@
         @settings(max_examples=200, deadline=None)
         @given(st.dictionaries(st.sampled_from(names), json_values))
         def check(fields: dict[str, Any]) -> None:
-            losses = losses_of([a_line(**fields), a_line()])
-            self.assertGreaterEqual(len(losses), 1)
-            report(losses)
+            requests = counted_requests([a_line(**fields), a_line()])
+            self.assertGreaterEqual(len(requests), 1)
+            report(requests)
 
         check()
 
 
 class LossesTest(unittest.TestCase):
     def run_losses(self, *words: str) -> tuple[int, str, str]:
-        """Run the command over two lines and one that is none."""
+        """Run the command on two log lines and one other line."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "r1.log"
             lines = [a_line(), a_line(result="QUEUE_FULL", status=503)]
@@ -120,7 +120,7 @@
         for text in ("2 requests", "1 in time", "refused: queue", "50.0%", "2.00"):
             self.assertIn(text, out)
 
-    def test_route_that_is_not_there(self) -> None:
+    def test_unknown_route(self) -> None:
         code, _, err = self.run_losses("--route", "other")
         self.assertEqual(code, 8)
         self.assertIn("no request of a route", err)
--- a/packages/corianderlb-ctl/tests/test_settings_page.py
+++ b/packages/corianderlb-ctl/tests/test_settings_page.py
@@ -1,4 +1,4 @@
-"""The page of settings shows what the code checks."""
+"""The settings reference page matches the settings classes."""
 
 from __future__ import annotations
 
--- a/packages/corianderlb-ctl/tests/test_trace.py
+++ b/packages/corianderlb-ctl/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by log files alone."""
+"""Tests of ``corianderctl trace`` on log files."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 class TraceTest(unittest.TestCase):
     def run_trace(self, *words: str) -> tuple[int, str, str]:
-        """Run the command over the lines, with some that are no log lines."""
+        """Run the command on the log lines and some other lines."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "r1.log"
             lines = ["Traceback ...", "{", *(json.dumps(line) for line in LINES)]
@@ -51,7 +51,7 @@
                 code = main(["trace", *words, "--logs", str(path)])
         return code, out.getvalue(), err.getvalue()
 
-    def test_request_with_what_its_router_believed(self) -> None:
+    def test_request_with_state_changes_of_its_router(self) -> None:
         code, out, _ = self.run_trace("9c41")
         self.assertEqual(code, 0)
         for text in ("UPSTREAM_FAILED", "closed mid-answer", "broken", "instance=e1"):
@@ -59,7 +59,7 @@
         self.assertNotIn("e9", out)
         self.assertNotIn("store:lost", out)
 
-    def test_changes_of_longer_before(self) -> None:
+    def test_earlier_changes_with_before_option(self) -> None:
         _, out, _ = self.run_trace("9c41", "--before", "20")
         self.assertIn("store:lost", out)
 
