--- a/packages/corianderlb-ctl/tests/test_command_words.py
+++ b/packages/corianderlb-ctl/tests/test_command_words.py
@@ -185,8 +185,8 @@
 
     def test_variables(self) -> None:
         """Environment variables keep their names."""
-        wanted = ["CORIANDERCTL_OPERATOR_KEY_FILE", "CORIANDERCTL_STORE"]
-        self.assertEqual(variables(CTL), wanted)
+        expected = ["CORIANDERCTL_OPERATOR_KEY_FILE", "CORIANDERCTL_STORE"]
+        self.assertEqual(variables(CTL), expected)
 
     def test_json_fields(self) -> None:
         """The JSON output of the commands keeps its fields."""
@@ -194,8 +194,8 @@
 
     def test_enums(self) -> None:
         """Enumerations keep their values."""
-        wanted = lines(ENUMS.replace("\n    ", ""))
-        self.assertEqual(enum_values(corianderlb_ctl), wanted)
+        expected = lines(ENUMS.replace("\n    ", ""))
+        self.assertEqual(enum_values(corianderlb_ctl), expected)
 
     def test_paths(self) -> None:
         """The paths of the routers' admin API stay."""
--- a/tests/run_all.py
+++ b/tests/run_all.py
@@ -1,7 +1,7 @@
 """Run every test of the workspace with unittest and print the counts.
 
-A test named in ``KNOWN-RED.txt`` still runs; its failure is printed but does not
-turn the verdict. A line of that file starts with the dotted test id and a colon.
+A test listed in ``KNOWN-RED.txt`` still runs; its failure is printed but does not fail
+the suite. Each line of that file starts with the dotted test id and a colon.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from hypothesis import settings
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-"""The root of the workspace."""
+"""Root directory of the workspace."""
 
 PACKAGES_ONLY: Final = "--packages"
-"""The argument that leaves the tests with separate processes out."""
+"""Argument that excludes the multi-process tests."""
 
 
 def known_red() -> frozenset[str]:
@@ -30,16 +30,16 @@
 
 
 def load_suite(patterns: list[str], packages_only: bool) -> unittest.TestSuite:
-    """Collect the tests of all packages and, unless left out, the multi-process ones.
+    """Collect the tests of all packages and, unless excluded, the multi-process ones.
 
-    Patterns, when given, keep the tests whose id contains one of them.
+    If patterns are given, only tests whose id contains one of them are kept.
     """
     folders = [*sorted(ROOT.glob("packages/*/tests")), ROOT / "platform" / "tests"]
     if not packages_only:
         folders.append(ROOT / "tests")
     suite = unittest.TestSuite()
     for folder in folders:
-        # Each folder needs a loader of its own: a loader remembers its top folder.
+        # A loader keeps its top-level folder, so each folder needs a new one.
         loader = unittest.TestLoader()
         loader.testNamePatterns = [f"*{word}*" for word in patterns] or None
         suite.addTests(loader.discover(str(folder), top_level_dir=str(folder)))
@@ -47,13 +47,13 @@
 
 
 def load_hypothesis_profile() -> None:
-    """Have generated examples come from a fixed seed, so that verdicts repeat."""
+    """Derive hypothesis examples from a fixed seed, for reproducible results."""
     settings.register_profile("suite", derandomize=True, deadline=None, database=None)
     settings.load_profile("suite")
 
 
 def main() -> int:
-    """Run the suite; return 0 when nothing but a known red test failed."""
+    """Run the suite; return 0 if only tests listed as known red failed."""
     load_hypothesis_profile()
     patterns = [word for word in sys.argv[1:] if word != PACKAGES_ONLY]
     suite = load_suite(patterns, PACKAGES_ONLY in sys.argv)
--- a/tests/test_fleet_catalogue.py
+++ b/tests/test_fleet_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue stays in force, and current, while processes and the store fail."""
+"""Multi-process tests of the catalogue while routers and the store fail."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
     )
 
 
-async def versions(fleet: Fleet) -> set[int]:
+async def versions_in_force(fleet: Fleet) -> set[int]:
     found = [await fleet.status(router) for router in fleet.routers]
     return {status["catalogue_version"] for status in found}
 
 
 async def until_in_force(fleet: Fleet, version: int) -> None:
     async def in_force() -> bool:
-        return await versions(fleet) == {version}
+        return await versions_in_force(fleet) == {version}
 
     await until(in_force)
 
 
-async def linked(fleet: Fleet, router: Process) -> bool:
+async def sees_all_peers(fleet: Fleet, router: Process) -> bool:
     return len((await fleet.status(router))["members"]) == len(fleet.routers)
 
 
-async def edit_often(fleet: Fleet, n_edits: int) -> None:
+async def accept_edits(fleet: Fleet, n_edits: int) -> None:
     store = HttpObjectStore(fleet.store_url)
     editor = CatalogueEditor(store)
     for version in range(1, n_edits + 1):
@@ -53,12 +53,12 @@
 
 class FleetCatalogueTest(RealTimeTestCase):
     async def test_herd_start(self) -> None:
-        """All routers are killed and started together, as after a power cut.
+        """All routers are killed and restarted together, as after a power failure.
 
-        Callers wait until they serve; the store must not get a full read from each.
+        Full reads by every router would overload the store.
         """
         async with running_fleet(a_plan()) as fleet:
-            await edit_often(fleet, 10)
+            await accept_edits(fleet, 10)
             for router in fleet.routers:
                 await router.kill()
             before = await fleet.counters("store")
@@ -66,16 +66,16 @@
                 for router in fleet.routers:
                     nursery.start_soon(fleet.restart, router.name)
             await fleet.wait_ready()
-            self.assertEqual(await versions(fleet), {11})
+            self.assertEqual(await versions_in_force(fleet), {11})
             after = await fleet.counters("store")
             full_reads = after["calls"]["list"] - before["calls"]["list"]
             # A full read lists snapshots, then changes until there are no more.
             self.assertLessEqual(full_reads, 2 * 3)
 
     async def test_restart_while_the_store_is_down(self) -> None:
-        """A router is killed and comes back during an outage of the store.
+        """A router is killed and restarted during an outage of the store.
 
-        It must serve at once what the others have in force.
+        It must fetch the version in force from its peers and serve at once.
         """
         async with running_fleet(a_plan()) as fleet:
             await fleet.apply(an_account("extra"))
@@ -85,10 +85,10 @@
             await fleet.restart(victim.name)
             with trio.fail_after(10):
                 await fleet.until_ready(victim)
-            self.assertEqual(await versions(fleet), {2})
+            self.assertEqual(await versions_in_force(fleet), {2})
 
     async def test_store_fails_right_after_acceptance(self) -> None:
-        """The store takes an edit, loses the answer, and goes away for a while."""
+        """The store accepts an edit, loses the response, and fails for a while."""
         async with running_fleet(a_plan()) as fleet:
             await fleet.fault("store", lose_answers=1)
             await fleet.apply(an_account("extra"), wait=False)
@@ -100,10 +100,10 @@
             self.assertEqual(len(history), 2)
 
     async def test_connections_to_the_store_go_silent(self) -> None:
-        """All open connections to the store go silent for good while new ones work.
+        """All open connections to the store stall, while new ones work.
 
-        Every watch and every kept connection waits for nothing. The routers must give
-        them up and hear of the next change within the 13 s that users were promised.
+        The routers must time out their watches and pooled connections and have the
+        next change in force within 13 s.
         """
         plan = FleetPlan(
             n_engines=0, n_services=0, n_routers=3, proxied=frozenset({"store"})
@@ -111,12 +111,12 @@
         async with running_fleet(plan) as fleet:
             await trio.sleep(1)
             await fleet.proxy_fault("store", freeze_now=True)
-            await edit_often(fleet, 1)
+            await accept_edits(fleet, 1)
             with trio.fail_after(13):
                 await until_in_force(fleet, 2)
 
-    async def test_operators_race(self) -> None:
-        """Three operators edit the version that they looked at, at the same moment."""
+    async def test_concurrent_edits_conflict(self) -> None:
+        """Three operators submit edits based on the same version at the same time."""
         async with running_fleet(a_plan(n_routers=2)) as fleet:
             codes: list[int] = []
 
@@ -137,55 +137,55 @@
             self.assertEqual(sorted(codes), [ExitCode.OK, conflict, conflict])
             await until_in_force(fleet, 2)
 
-    async def test_cut_off_router_refuses_and_comes_back(self) -> None:
+    async def test_isolated_router_refuses_and_recovers(self) -> None:
         """A router loses the store and all its peers, but callers still reach it.
 
-        It may have an old catalogue; it must say so instead of deciding by it.
+        Its catalogue may be stale, so it must refuse requests.
         """
         settings = {"catalogue": {"stale_after_s": 3.0}}
         async with running_fleet(a_plan(3, **settings)) as fleet:
-            alone, *others = fleet.routers
-            await until(lambda: linked(fleet, alone))
+            isolated, *others = fleet.routers
+            await until(lambda: sees_all_peers(fleet, isolated))
             await fleet.fault("store", down="cut")
             for router in others:
                 router.freeze()
 
             async def refuses() -> bool:
                 answer = await fleet.http.post(
-                    f"http://{alone.address}/v1/chat/completions", json={}
+                    f"http://{isolated.address}/v1/chat/completions", json={}
                 )
                 code = int(answer.headers[header.RESULT_CODE])
                 return code == ResultCode.STALE_CONFIGURATION
 
             await until(refuses)
-            answer = await fleet.http.get(f"http://{alone.address}/ready")
+            answer = await fleet.http.get(f"http://{isolated.address}/ready")
             self.assertEqual(answer.status_code, 503)
             for router in others:
                 router.thaw()
             await fleet.wait_ready()
 
-    async def test_frozen_router_does_not_wake_with_an_old_catalogue(self) -> None:
-        """A router is paused for longer than changes take; others edit meanwhile.
+    async def test_resumed_router_does_not_use_a_stale_catalogue(self) -> None:
+        """A router is paused while a change comes into force on the others.
 
-        Its first answer after waking must not rest on what was in force before.
+        Its first answer after it resumes must not be based on the old version.
         """
         settings = {"catalogue": {"stale_after_s": 3.0}}
         async with running_fleet(a_plan(3, **settings)) as fleet:
-            sleeper = fleet.routers[0]
-            await until(lambda: linked(fleet, sleeper))
-            sleeper.freeze()
+            paused = fleet.routers[0]
+            await until(lambda: sees_all_peers(fleet, paused))
+            paused.freeze()
             await fleet.apply(an_account("extra"), wait=False)
             await trio.sleep(3.5)
             answers: list[Any] = []
 
-            async def ask() -> None:
-                url = f"http://{sleeper.address}/v1/chat/completions"
+            async def send() -> None:
+                url = f"http://{paused.address}/v1/chat/completions"
                 answers.append(await fleet.http.post(url, json={}))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send)
                 await trio.sleep(0.2)
-                sleeper.thaw()
+                paused.thaw()
             (answer,) = answers
             code = int(answer.headers[header.RESULT_CODE])
             version = int(answer.headers[header.CATALOGUE_VERSION])
--- a/tests/test_processes_calls.py
+++ b/tests/test_processes_calls.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, over all routers."""
+"""A call that is not repeatable runs at most once across all routers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 class ProcessesCallsTest(FleetTestCase):
     def plan(self, **fields):
-        """Return a fleet of plain services alone."""
+        """Return a plan with services and routers but no engines."""
         return small_plan(n_engines=0, n_services=2, n_routers=2, **fields)
 
     def code_of(self, response: httpx.Response) -> int:
@@ -24,10 +24,9 @@
         return int(response.headers["corianderlb-result-code"])
 
     async def test_four_routers_get_the_same_call_at_once(self) -> None:
-        """A tablet with a bad link sends its sign-off over and over.
+        """A caller retries one call many times, through all routers at once.
 
-        The balancer spreads the repeats over all routers, and a second run would bill
-        the buyer twice.
+        A second run would bill the buyer twice.
         """
         plan = small_plan(n_engines=0, n_services=2, n_routers=4)
         async with running_fleet(plan) as fleet:
@@ -47,9 +46,9 @@
             self.assertLessEqual(codes, {int(ResultCode.CALL_IN_PROGRESS)})
 
     async def test_answer_of_the_service_is_lost(self) -> None:
-        """The service runs the sign-off, and its answer is lost on the way back.
+        """The service runs the call, and its response is lost.
 
-        Sending it again would book the batch twice; saying "not run" would be a lie.
+        A retry would run it twice, and reporting "not run" would be wrong.
         """
         plan = self.plan(proxied=frozenset({"service"}))
         async with (
@@ -68,9 +67,9 @@
             self.assertEqual(await self.count_runs(fleet), 1)
 
     async def test_pooled_connections_are_dead_and_silent(self) -> None:
-        """Connections that idle in the pool are dead, and nothing has said so.
+        """Idle connections in the pool stall without being closed.
 
-        A sign-off sent on one of them would be in doubt; it has to run, once.
+        A call sent on one of them would have an unknown outcome; it must run once.
         """
         plan = self.plan(proxied=frozenset({"service"}))
         async with (
@@ -87,10 +86,10 @@
             self.assertEqual(await self.count_runs(fleet), n_before + 1)
 
     async def test_router_is_killed_during_the_call(self) -> None:
-        """A router dies while the service works on a sign-off.
+        """A router is killed while the service runs a call.
 
-        The caller asks again through another router, which knows of the first run by
-        the journal alone.
+        The caller retries through another router, which knows of the first run only
+        from the journal.
         """
         async with (
             running_fleet(self.plan()) as fleet,
@@ -119,10 +118,10 @@
             self.assertEqual(await self.count_runs(fleet), 1)
 
     async def test_store_is_down(self) -> None:
-        """The platform's service is down, so that no run can be recorded.
+        """The platform service is down, so that no run can be recorded.
 
-        A run without a record could be doubled; the refusal that says "not run" has to
-        be true, and tells when to come back.
+        A call that ran without a record could run twice, so it must be refused as not
+        run, with a time to retry after.
         """
         async with (
             running_fleet(self.plan()) as fleet,
@@ -142,10 +141,10 @@
             self.assertEqual(await self.count_runs(fleet), 2)
 
     async def test_answer_of_the_store_is_lost(self) -> None:
-        """The store records the call, and its answer to the router never arrives.
+        """The store records the call, and its response to the router is lost.
 
-        Taken for a failure, the record would block the sign-off for good; taken for
-        another router's, the caller would be told of a run that never was.
+        The router must recognize its own record: the call would be blocked for good if
+        it gave up, and reported as run elsewhere if it took the record for another's.
         """
         async with (
             running_fleet(self.plan()) as fleet,
@@ -158,9 +157,9 @@
             self.assertEqual(await self.count_runs(fleet), 2)
 
     async def test_service_refuses_before_running(self) -> None:
-        """All services refuse a sign-off before they run it, for a while.
+        """All services refuse a call before they run it, for a while.
 
-        It did not run, so the caller is told so and may send it again under its key.
+        The refusal must report "not run", and a retry with the same key must run.
         """
         async with (
             running_fleet(self.plan()) as fleet,
--- a/tests/test_processes_limits.py
+++ b/tests/test_processes_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a client account hold over all routers together."""
+"""Limits of a client account hold across all routers."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 class ProcessesLimitsTest(FleetTestCase):
     async def test_account_floods_all_routers(self) -> None:
-        """One account sends far more than its limit, through every router alike.
+        """One account exceeds its limit, evenly through all routers.
 
-        If each router gave it the whole limit, it would get four times what it may
-        have, and the others would wait for it.
+        If each router granted the whole limit, the account would get four times its
+        limit.
         """
         plan = small_plan(n_engines=0, n_services=1, n_routers=4)
         async with running_fleet(plan) as fleet:
             account = an_account(ACCOUNT, limits=Limits(requests_per_s=RATE))
             await fleet.apply(account, reason="limit")
 
-            async def linked() -> bool:
+            async def all_peers_known() -> bool:
                 states = [await fleet.status(router) for router in fleet.routers]
                 return all(len(state["members"]) == 4 for state in states)
 
-            await until(linked)
+            await until(all_peers_known)
             answers: list[httpx.Response] = []
             started_at = trio.current_time()
 
@@ -51,8 +51,8 @@
                     nursery.start_soon(send, router.address)
             lasted_s = trio.current_time() - started_at
             n_ran = sum(answer.status_code == 200 for answer in answers)
-            # The tolerance of the limits: all but the home may have fallen back, one
-            # burst of a second, and one request for each router.
+            # Tolerance: all routers but the primary may use their fallback share, plus
+            # a burst of one second and one request for each router.
             self.assertLessEqual(n_ran, RATE * lasted_s * 1.75 + RATE + 4)
             self.assertGreaterEqual(n_ran, RATE)
             self.assertEqual(n_ran, await self.count_runs(fleet))
--- a/tests/test_processes_orders.py
+++ b/tests/test_processes_orders.py
@@ -1,4 +1,4 @@
-"""Engines get the weights that the catalogue asks for, from one holder at a time."""
+"""Engines load the weights of the catalogue, ordered by one lease holder at a time."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 ORDERS: Final = {
     "orders": {"lease_s": 3.0, "margin_s": 0.5, "send_s": 1.0, "flight_s": 1.5}
 }
-"""Router settings with short leases, so that a takeover is seen soon."""
+"""Router settings with short leases, for a fast takeover."""
 
 
 class ProcessesOrdersTest(FleetTestCase):
     async def change_weights(self, fleet: Fleet, version: str) -> None:
-        """Have new weights accepted, and wait until they are in force."""
+        """Apply a new weights version and wait until it is in force."""
         model = a_model(MODEL, weights_version=version, prefill_s_per_piece=0.02)
         await fleet.apply(model, reason=f"weights {version}")
 
     async def orders(self, fleet: Fleet) -> dict[str, list[dict[str, Any]]]:
-        """Return the orders that each engine took, in their order."""
+        """Return the orders that each engine executed, oldest first."""
         return {e.name: (await fleet.counters(e.name))["orders"] for e in fleet.engines}
 
     async def until_loaded(self, fleet: Fleet, version: str) -> None:
-        """Return once the last order of each engine is for a version."""
+        """Wait until the last order of each engine is for a version."""
 
         async def loaded() -> bool:
             taken = (await self.orders(fleet)).values()
@@ -38,23 +38,22 @@
         await until(loaded, 40.0)
 
     async def holder(self, fleet: Fleet) -> str:
-        """Return the router that holds the lease, or nothing."""
+        """Return the router that holds the lease, if any."""
         for router in fleet.routers:
             for lease in (await fleet.status(router))["leases"]:
                 if lease["remaining_s"] > 0:
                     return lease["holder"]
         return ""
 
-    def assert_in_order(self, orders: dict[str, list[dict[str, Any]]]) -> None:
+    def assert_ascending_tokens(self, orders: dict[str, list[dict[str, Any]]]) -> None:
         for taken in orders.values():
             tokens = [order["fencing_token"] for order in taken]
             self.assertEqual(tokens, sorted(tokens))
 
     async def test_old_weights_are_not_used_after_a_change(self) -> None:
-        """A change of weights is accepted while prompts of the old ones are cached.
+        """The weights version changes while prompts are cached under the old one.
 
-        An answer from the old weights, or from cache that they computed, would look
-        right and be wrong.
+        Answers from the old weights or their cache would be wrong but look valid.
         """
         plan = small_plan(n_engines=2, n_routers=2, router_settings=ORDERS)
         async with (
@@ -75,35 +74,37 @@
             self.assertEqual([len(taken) for taken in orders.values()], [1, 1])
 
     async def test_holder_is_frozen_past_its_lease(self) -> None:
-        """The router that gives the orders is stopped in the middle, and wakes later.
+        """The lease holder is paused and resumes after another router took over.
 
-        Another has given newer orders meanwhile, to engines that check no token. The
-        one that wakes must notice before its next act, or old weights come back.
+        The engines do not check fencing tokens, so the old holder must notice the
+        lost lease before its next order, or engines would load old weights.
         """
         plan = small_plan(n_engines=4, n_routers=3, router_settings=ORDERS)
         async with running_fleet(plan, timeout_s=90.0) as fleet:
             await self.change_weights(fleet, "w2")
 
-            async def some_given() -> bool:
+            async def some_orders_sent() -> bool:
                 taken = (await self.orders(fleet)).values()
                 return bool(any(taken) and await self.holder(fleet))
 
-            await until(some_given)
-            frozen = fleet.processes[await self.holder(fleet)]
-            frozen.freeze()
-            other = next(router for router in fleet.routers if router is not frozen)
-            await self.change_weights_by(fleet, other, "w3")
+            await until(some_orders_sent)
+            paused = fleet.processes[await self.holder(fleet)]
+            paused.freeze()
+            other = next(router for router in fleet.routers if router is not paused)
+            await self.change_weights_without_wait(fleet, other, "w3")
             await self.until_loaded(fleet, "w3")
             n_orders = sum(map(len, (await self.orders(fleet)).values()))
-            frozen.thaw()
+            paused.thaw()
             await trio.sleep(4)
             orders = await self.orders(fleet)
-            self.assert_in_order(orders)
+            self.assert_ascending_tokens(orders)
             self.assertEqual(sum(map(len, orders.values())), n_orders)
             self.assertEqual({t[-1]["version"] for t in orders.values()}, {"w3"})
 
-    async def change_weights_by(self, fleet: Fleet, router: Any, version: str) -> None:
-        """Have new weights accepted without waiting for a frozen router."""
+    async def change_weights_without_wait(
+        self, fleet: Fleet, router: Any, version: str
+    ) -> None:
+        """Apply a new weights version; wait for the given router only."""
         model = a_model(MODEL, weights_version=version, prefill_s_per_piece=0.02)
         await fleet.apply(model, reason=f"weights {version}", wait=False)
 
--- a/tests/test_processes_outage.py
+++ b/tests/test_processes_outage.py
@@ -1,4 +1,4 @@
-"""The platform's service is down or slow, and the routers go on."""
+"""Routers keep serving while the platform service is down or slow."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
         return (await fleet.status(fleet.processes[name]))["catalogue_version"]
 
     async def test_requests_go_on_while_the_store_is_down(self) -> None:
-        """The platform's service goes down for longer than its callers' patience.
+        """The platform service is down for longer than its callers' timeout.
 
-        Prompts need nothing from it that is not in memory, so no caller may notice.
+        All state that prompts need is in memory, so they must still be served.
         """
         plan = small_plan(n_routers=2, proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
@@ -26,12 +26,12 @@
             await trio.sleep(3.0)
             for router in fleet.routers:
                 async with LoadClient(router.address) as client:
-                    self.assert_whole(await client.stream(PROMPT))
+                    self.assert_complete(await client.stream(PROMPT))
 
     async def test_all_routers_restart_while_the_store_is_slow(self) -> None:
-        """All routers restart together, and the platform's service answers slowly.
+        """All routers restart together while the platform service is slow.
 
-        A start must not need many calls, and no router may serve an older version.
+        A start must need few calls, and no router may serve an older version.
         """
         plan = small_plan(n_routers=4)
         async with running_fleet(plan) as fleet:
@@ -48,36 +48,36 @@
             for router in fleet.routers:
                 self.assertEqual(await self.version_of(fleet, router.name), 2)
                 async with LoadClient(router.address) as client:
-                    self.assert_whole(await client.stream(PROMPT))
+                    self.assert_complete(await client.stream(PROMPT))
             self.assertLessEqual(after - before, 20 * len(fleet.routers))
 
-    async def test_one_router_alone_reaches_the_store_after_a_change(self) -> None:
-        """An edit is accepted, and the store fails right after for all who ask.
+    async def test_change_spreads_after_the_store_fails(self) -> None:
+        """An edit is accepted, and the store fails once one router has read it.
 
-        The routers that have it have to pass it on; none may go back after that.
+        That router must forward the change to the others.
         """
         plan = small_plan(n_routers=4, proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
             await fleet.apply(*default_entries(import_s_per_piece=0.03), wait=False)
 
-            async def somebody_has_it() -> bool:
+            async def any_router_has_it() -> bool:
                 found = [await self.version_of(fleet, r.name) for r in fleet.routers]
                 return 2 in found
 
-            await until(somebody_has_it)
+            await until(any_router_has_it)
             await fleet.proxy_fault("store", refuse=True, cut_now=True)
 
-            async def all_have_it() -> bool:
+            async def all_routers_have_it() -> bool:
                 found = [await self.version_of(fleet, r.name) for r in fleet.routers]
                 return found == [2, 2, 2, 2]
 
-            await until(all_have_it, timeout_s=13.0)
+            await until(all_routers_have_it, timeout_s=13.0)
 
-    async def test_operators_race(self) -> None:
-        """Two operators edit from the same version at the same moment.
+    async def test_concurrent_edits_conflict(self) -> None:
+        """Two operators submit edits based on the same version at the same time.
 
-        Merging in silence would lose one edit; one has to win and the other to learn
-        what came first.
+        One must be accepted and the other get a conflict that shows both differences;
+        otherwise one edit would be lost silently.
         """
         async with running_fleet(small_plan()) as fleet:
             results: dict[str, str] = {}
@@ -93,11 +93,15 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(edit, "ann", "5.0")
                 nursery.start_soon(edit, "bob", "6.0")
-            won = [name for name in results if "accepted as version 2" in results[name]]
-            self.assertEqual(len(won), 1, results)
-            self.assertIn(won[0], await fleet.ctl("history", "--after", "1"))
+            accepted = [
+                name for name in results if "accepted as version 2" in results[name]
+            ]
+            self.assertEqual(len(accepted), 1, results)
+            self.assertIn(accepted[0], await fleet.ctl("history", "--after", "1"))
             entry = await fleet.ctl("get", "account/northwest-charcoal", "--file")
-            self.assertIn("5.0" if won == ["ann"] else "6.0", entry)
-            lost = next(text for name, text in results.items() if name not in won)
-            self.assertIn("5.0", lost)
-            self.assertIn("6.0", lost)
+            self.assertIn("5.0" if accepted == ["ann"] else "6.0", entry)
+            conflict = next(
+                text for name, text in results.items() if name not in accepted
+            )
+            self.assertIn("5.0", conflict)
+            self.assertIn("6.0", conflict)
--- a/tests/test_processes_paused_call.py
+++ b/tests/test_processes_paused_call.py
@@ -1,4 +1,4 @@
-"""A router that is stopped in the middle of a call neither doubles nor loses it."""
+"""A call whose router is paused runs once, and its answer is not lost."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class ProcessesPausedCallTest(FleetTestCase):
-    async def test_router_wakes_after_its_call_was_in_doubt(self) -> None:
-        """A router is stopped while the service works on a sign-off, and wakes later.
+    async def test_router_resumes_after_its_call_became_unknown(self) -> None:
+        """A router is paused while the service runs a call, and resumes later.
 
-        Meanwhile another router tells the caller that the outcome is not known. When
-        the first one wakes, a repeat gets the first answer, and the buyer one bill.
+        Meanwhile another router reports the outcome as unknown. Once the first router
+        resumes, a retry must get its answer, without a second run.
         """
         plan = small_plan(n_engines=0, n_services=1, n_routers=2)
         async with (
@@ -29,7 +29,7 @@
             LoadClient(fleet.routers[1].address) as second,
         ):
             answers: list[httpx.Response] = []
-            # The service may take its time, so that the pause alone is no failure.
+            # A long timeout, so that the pause does not make the call fail.
             route = a_route("sign-off", repeatable=False, timeout_s=60.0)
             await fleet.apply(route, reason="a slow service")
             await fleet.fault("service-1", slow_s=1.0)
@@ -40,28 +40,28 @@
             async def running() -> bool:
                 return await self.count_runs(fleet) == 1
 
-            async def repeat() -> int:
+            async def retry() -> int:
                 answer = await second.call("POST", PATH, {"a": 1}, KEY)
                 return int(answer.headers["corianderlb-result-code"])
 
-            async def in_doubt() -> bool:
-                return await repeat() == ResultCode.OUTCOME_UNKNOWN
+            async def is_unknown() -> bool:
+                return await retry() == ResultCode.OUTCOME_UNKNOWN
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(send)
                 await until(running)
                 fleet.routers[0].freeze()
                 self.assertIn(
-                    await repeat(),
+                    await retry(),
                     (ResultCode.CALL_IN_PROGRESS, ResultCode.OUTCOME_UNKNOWN),
                 )
-                await until(in_doubt, 40.0)
+                await until(is_unknown, 40.0)
                 fleet.routers[0].thaw()
 
-            async def settled() -> bool:
-                return await repeat() == ResultCode.OK
+            async def is_answered() -> bool:
+                return await retry() == ResultCode.OK
 
-            await until(settled)
+            await until(is_answered)
             again = await second.call("POST", PATH, {"a": 1}, KEY)
             self.assertEqual(answers[0].status_code, 200, answers[0].text)
             self.assertEqual(again.json(), answers[0].json())
--- a/tests/test_processes_shutdown.py
+++ b/tests/test_processes_shutdown.py
@@ -1,4 +1,4 @@
-"""A router that is told to end cuts no request; a killed one is no loss to the rest."""
+"""A terminated router completes its requests; a second signal ends it at once."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 class ProcessesShutdownTest(FleetTestCase):
     async def test_termination_under_load_cuts_nothing(self) -> None:
-        """Operators replace a router while streams run and the balancer still sends.
+        """A router is terminated while streams run and the balancer still uses it.
 
-        A router that closed its port at once would refuse what the balancer sends
-        until it has noticed, and one that left early would cut the streams.
+        Closing the port at once would refuse new requests until the balancer notices,
+        and an early exit would cut the streams.
         """
         plan = small_plan(engine_arguments=SLOW, n_services=1)
         async with (
@@ -51,13 +51,13 @@
             self.assertEqual(exit_code, 0)
             self.assertEqual(len(answers), 12)
             for answer in answers:
-                self.assert_whole(answer, answers[0].text)
+                self.assert_complete(answer, answers[0].text)
             self.assertEqual(calls[0].status_code, 200)
 
     async def test_second_signal_ends_at_once(self) -> None:
-        """An operator cannot wait for the streams of a router that is being replaced.
+        """An operator sends a second signal to a router that is draining.
 
-        The second signal has to end it now, and its log has to say what it cut.
+        It must exit at once and log the requests that it cut.
         """
         plan = small_plan(engine_arguments=("--token-s", "0.1"))
         async with (
--- a/tests/test_processes_start.py
+++ b/tests/test_processes_start.py
@@ -1,4 +1,4 @@
-"""A router that starts serves at once, or says that it cannot yet."""
+"""A starting router serves at once or reports that it is not ready."""
 
 from __future__ import annotations
 
@@ -14,10 +14,9 @@
         return (await fleet.status(fleet.processes[name]))["catalogue_version"]
 
     async def test_router_starts_while_the_store_is_down(self) -> None:
-        """A router is replaced during an outage of the platform's service.
+        """A router is replaced during an outage of the platform service.
 
-        It holds nothing of its own; the other routers have the catalogue, so it has to
-        serve at once, and at the version that is in force.
+        It must fetch the catalogue from its peers and serve the version in force.
         """
         plan = small_plan(n_routers=3, proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
@@ -29,13 +28,13 @@
             await fleet.until_ready(router)
             self.assertEqual(await self.version_of(fleet, router.name), 2)
             async with LoadClient(router.address) as client:
-                self.assert_whole(await client.stream(PROMPT))
+                self.assert_complete(await client.stream(PROMPT))
 
     async def test_start_without_store_and_peers_waits(self) -> None:
-        """The only router starts while nobody can tell it what is in force.
+        """The only router starts while the store is down.
 
-        Serving from nothing or from an old copy would be stale, so it says that it is
-        not ready, and serves as soon as the platform's service is back.
+        It must report that it is not ready instead of serving without a catalogue, and
+        serve once the store is back.
         """
         plan = small_plan(proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
@@ -49,4 +48,4 @@
                 self.assertEqual(refused.error["ran"], "no")
                 await fleet.proxy_fault("store", refuse=False)
                 await fleet.until_ready(router)
-                self.assert_whole(await client.stream(PROMPT))
+                self.assert_complete(await client.stream(PROMPT))
--- a/tests/test_processes_storm.py
+++ b/tests/test_processes_storm.py
@@ -1,4 +1,4 @@
-"""Several things fail at once, under load, and the promises hold."""
+"""Delivery guarantees hold when several components fail at once under load."""
 
 from __future__ import annotations
 
@@ -10,24 +10,23 @@
 from corianderlb_standins.load_client import LoadClient, StreamAnswer, nested_prompt
 from fleet_case import FleetTestCase, small_plan
 
-ENGINE = ("--prefill-s", "0.01", "--token-s", "0.02")
+SLOW = ("--prefill-s", "0.01", "--token-s", "0.02")
 N_STREAMS = 24
 N_CALLS = 12
 
 
-class ProcessesStormTest(FleetTestCase):
+class CombinedFaultsTest(FleetTestCase):
     async def test_engine_connections_store_and_router_fail_together(self) -> None:
-        """An engine dies, open connections go silent and the store loses answers.
+        """An engine and a router are killed, connections stall, responses are lost.
 
-        In the middle of that a router is killed as well. Streams of the routers that
-        live have to be whole, and no sign-off may run twice, however often its caller
-        repeats it.
+        Streams of the remaining routers must be complete, and no call may run twice,
+        however often its caller retries it.
         """
         plan = small_plan(
             n_engines=4,
             n_services=2,
             n_routers=3,
-            engine_arguments=ENGINE,
+            engine_arguments=SLOW,
             proxied=frozenset({"engine", "service"}),
         )
         async with running_fleet(plan) as fleet:
@@ -45,14 +44,14 @@
                 await fleet.proxy_fault("service-1", freeze_now=True)
                 await fleet.routers[2].kill()
             for answer in streams.values():
-                self.assert_whole(answer)
+                self.assert_complete(answer)
             self.assertEqual(len(streams), N_STREAMS)
             await self.check_calls(fleet, calls)
 
     async def stream(
         self, fleet: Fleet, number: int, streams: dict[int, StreamAnswer]
     ) -> None:
-        """Stream by a router that lives on."""
+        """Stream through a router that is not killed."""
         prompt = nested_prompt("customer", f"site-{number % 6}", f"batch-{number}")
         async with LoadClient(fleet.routers[number % 2].address) as client:
             streams[number] = await client.stream(prompt, 60)
@@ -60,7 +59,7 @@
     async def sign_off(
         self, fleet: Fleet, key: str, calls: dict[str, httpx.Response]
     ) -> None:
-        """Send a sign-off to each router in turn, until one answers for good."""
+        """Send a call to each router in turn until it succeeds."""
         for router in fleet.routers[::-1] * 3:
             try:
                 async with LoadClient(router.address) as client:
@@ -72,7 +71,7 @@
             await trio.sleep(0.3)
 
     async def check_calls(self, fleet: Fleet, calls: dict[str, httpx.Response]) -> None:
-        """Check that each call ran once, or is in doubt and ran once at most."""
+        """Check that each call ran once, or at most once if its outcome is unknown."""
         counted = [(await fleet.counters(s.name))["by_key"] for s in fleet.services]
         unknown = {ResultCode.OUTCOME_UNKNOWN, ResultCode.CALL_IN_PROGRESS}
         for number in range(N_CALLS):
--- a/tests/test_processes_streams.py
+++ b/tests/test_processes_streams.py
@@ -1,4 +1,4 @@
-"""Streams reach their caller whole, whatever happens between engine and router."""
+"""Streams reach their caller complete when engines or connections fail."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 class ProcessesStreamsTest(FleetTestCase):
     async def stream_during(
-        self, fleet: Fleet, act: Callable[[str], Awaitable[None]]
+        self, fleet: Fleet, inject_fault: Callable[[str], Awaitable[None]]
     ) -> tuple[StreamAnswer, str]:
-        """Stream once undisturbed, then again while ``act`` harms the busy engine."""
+        """Stream once without a fault, then again while ``inject_fault`` runs."""
         async with LoadClient(fleet.routers[0].address) as client:
             expected = await client.stream(PROMPT, N_TOKENS)
             answers: list[StreamAnswer] = []
@@ -34,75 +34,75 @@
                 nursery.start_soon(stream)
                 await until(lambda: self.busy_engine(fleet))
                 await trio.sleep(0.2)
-                await act(await self.busy_engine(fleet))
+                await inject_fault(await self.busy_engine(fleet))
             return answers[0], expected.text
 
-    async def test_engine_is_killed_in_the_middle(self) -> None:
-        """An engine process dies while it answers.
+    async def test_engine_is_killed_mid_stream(self) -> None:
+        """An engine process is killed while it streams.
 
-        Without continuing elsewhere the caller would be left with half an answer.
+        The router must continue the stream on another engine.
         """
         plan = small_plan(engine_arguments=SLOW)
         async with running_fleet(plan) as fleet:
 
-            async def act(name: str) -> None:
+            async def inject_fault(name: str) -> None:
                 await fleet.processes[name].kill()
 
-            answer, expected = await self.stream_during(fleet, act)
-            self.assert_whole(answer, expected)
+            answer, expected = await self.stream_during(fleet, inject_fault)
+            self.assert_complete(answer, expected)
 
     async def test_connection_goes_silent_in_the_middle(self) -> None:
-        """Something between router and engine loses track of the open connections.
+        """A device between router and engine drops its state of open connections.
 
-        Neither side hears of it; without a stall timeout the caller waits for ever.
+        Neither side gets an error; without a stall timeout the caller waits forever.
         """
         plan = small_plan(engine_arguments=SLOW, proxied=frozenset({"engine"}))
         async with running_fleet(plan) as fleet:
 
-            async def act(name: str) -> None:
+            async def inject_fault(name: str) -> None:
                 await fleet.proxy_fault(name, freeze_now=True)
 
-            answer, expected = await self.stream_during(fleet, act)
-            self.assert_whole(answer, expected)
+            answer, expected = await self.stream_during(fleet, inject_fault)
+            self.assert_complete(answer, expected)
             resumed = [await fleet.counters(item.name) for item in fleet.engines]
             self.assertEqual(sum(c["calls"].get("resume", 0) for c in resumed), 1)
 
-    async def test_connection_is_cut_in_the_middle(self) -> None:
+    async def test_connection_is_reset_mid_stream(self) -> None:
         """A device between router and engine resets the open connections.
 
-        The engine still has the stream, so the caller must not pay for a second run.
+        The engine still has the stream, so the router must resume it there.
         """
         plan = small_plan(engine_arguments=SLOW, proxied=frozenset({"engine"}))
         async with running_fleet(plan) as fleet:
 
-            async def act(name: str) -> None:
+            async def inject_fault(name: str) -> None:
                 await fleet.proxy_fault(name, cut_now=True)
 
-            answer, expected = await self.stream_during(fleet, act)
-            self.assert_whole(answer, expected)
+            answer, expected = await self.stream_during(fleet, inject_fault)
+            self.assert_complete(answer, expected)
             counted = [await fleet.counters(item.name) for item in fleet.engines]
             self.assertEqual(sum(sum(c["attempts"].values()) for c in counted), 2)
 
-    async def test_engine_is_paused_in_the_middle(self) -> None:
-        """An engine process is paused for good while it answers.
+    async def test_engine_is_paused_mid_stream(self) -> None:
+        """An engine process is paused while it streams and does not resume.
 
-        Its connections stay open and new ones are taken by the kernel, so that only
-        the missing progress shows that the caller has to be served elsewhere.
+        Its connections stay open and the kernel accepts new ones, so only the lack of
+        progress shows the failure.
         """
         plan = small_plan(engine_arguments=SLOW)
         async with running_fleet(plan) as fleet:
 
-            async def act(name: str) -> None:
+            async def inject_fault(name: str) -> None:
                 fleet.processes[name].freeze()
 
-            answer, expected = await self.stream_during(fleet, act)
-            self.assert_whole(answer, expected)
+            answer, expected = await self.stream_during(fleet, inject_fault)
+            self.assert_complete(answer, expected)
 
     async def test_engine_spoils_its_stream(self) -> None:
-        """An engine leaves out or repeats a token, or closes before the end.
+        """An engine skips or repeats a token, or closes before the end.
 
-        The bytes look well formed; only the ids and the missing terminal event show
-        that the caller would get a wrong answer.
+        The bytes are well formed; only event ids and the missing terminal event show
+        that the answer is wrong.
         """
         faults = [
             {"skip_at": 5},
@@ -118,7 +118,7 @@
             LoadClient(fleet.routers[0].address) as client,
         ):
             expected = await client.stream(PROMPT, N_TOKENS)
-            self.assert_whole(expected)
+            self.assert_complete(expected)
             for fault in faults:
                 with self.subTest(fault):
                     for engine in fleet.engines:
@@ -127,27 +127,27 @@
                     await fleet.fault(busy, **_no_fault(), n_affected=1)
                     await fleet.fault(busy, **fault)
                     answer = await client.stream(PROMPT, N_TOKENS)
-                    self.assert_whole(answer, expected.text)
+                    self.assert_complete(answer, expected.text)
 
     async def engine_of(self, fleet: Fleet, client: LoadClient) -> str:
-        """Return the engine that gets the next request of this prompt."""
+        """Return the engine that the prompt is routed to."""
         before = await self.n_attempts(fleet)
-        self.assert_whole(await client.stream(PROMPT, 1))
+        self.assert_complete(await client.stream(PROMPT, 1))
         after = await self.n_attempts(fleet)
         return next(name for name in after if after[name] > before[name])
 
     async def n_attempts(self, fleet: Fleet) -> dict[str, int]:
-        """Return attempts so far by engine."""
+        """Return the number of attempts by engine."""
         return {
             item.name: sum((await fleet.counters(item.name))["attempts"].values())
             for item in fleet.engines
         }
 
     async def test_all_engines_answer_with_old_weights(self) -> None:
-        """Engines run old weights and ignore the version that they are asked for.
+        """Engines run old weights and ignore the requested version.
 
-        Their answers look right; only the version in the answer's head tells that the
-        caller would be served from stale state.
+        Their answers look valid; only the version in the response header shows that
+        they are stale.
         """
         async with (
             running_fleet(small_plan()) as fleet,
--- a/tests/test_processes_upstreams.py
+++ b/tests/test_processes_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams crash, come back empty, leave, and are crashed by what they run."""
+"""Upstreams crash, restart with an empty cache, leave, or crash on a request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 class ProcessesUpstreamsTest(FleetTestCase):
     async def test_engine_comes_back_empty_under_its_address(self) -> None:
-        """An engine crashes and is back under the same address before anyone noticed.
+        """An engine restarts at the same address before its crash is detected.
 
-        Its cache is empty, and its answers come from another life: what was known
-        about the old one must not be used any more.
+        Its cache is empty: state of the old incarnation must not be used for the new
+        one.
         """
         plan = small_plan(n_engines=1)
         async with (
@@ -25,19 +25,19 @@
             LoadClient(fleet.routers[0].address) as client,
         ):
             first = await client.stream(PROMPT)
-            self.assert_whole(await client.stream(PROMPT), first.text)
+            self.assert_complete(await client.stream(PROMPT), first.text)
             await fleet.engines[0].kill()
             await fleet.restart("engine-1")
             again = await client.stream(PROMPT)
-            self.assert_whole(again, first.text)
+            self.assert_complete(again, first.text)
             self.assertEqual(again.cached_tokens, 0)
             warm = await client.stream(PROMPT)
             self.assertEqual(warm.cached_tokens, 4000)
 
     async def test_leaving_engine_gets_no_new_work(self) -> None:
-        """An engine says that it is leaving, while the platform's list still names it.
+        """An engine reports that it is leaving while the platform still lists it.
 
-        Work that is sent to it after a few seconds would be lost with it.
+        Requests sent there after a few seconds would be lost.
         """
         async with running_fleet(small_plan(n_engines=3, n_routers=2)) as fleet:
             await fleet.fault("engine-2", leaving=True)
@@ -47,14 +47,14 @@
                 async with LoadClient(router.address) as client:
                     for number in range(12):
                         prompt = nested_prompt("customer", f"site-{number}", "b")
-                        self.assert_whole(await client.stream(prompt, 2))
+                        self.assert_complete(await client.stream(prompt, 2))
             self.assertEqual(await self.n_attempts(fleet, "engine-2"), before)
 
     async def test_poison_request_crashes_two_engines_at_most(self) -> None:
-        """One request crashes each engine that runs it, and its caller sends it again.
+        """One request crashes each engine that runs it, and its caller retries it.
 
-        Without a count over all routers it would take every engine, and the innocent
-        requests beside it would be refused as suspects or be lost.
+        Without a crash count shared by all routers it would crash every engine, and
+        unrelated requests would be lost or quarantined.
         """
         plan = small_plan(n_engines=5, n_routers=2, engine_arguments=SLOW)
         async with (
@@ -64,12 +64,12 @@
         ):
             for engine in fleet.engines:
                 await fleet.fault(engine.name, crash_on="poison pill")
-            innocent: list[StreamAnswer] = []
+            unrelated: list[StreamAnswer] = []
             poisoned: list[StreamAnswer] = []
 
             async def stream(client: LoadClient, site: str) -> None:
                 prompt = nested_prompt("customer", site, "b", (1, 1, 0))
-                innocent.append(await client.stream(prompt, 40))
+                unrelated.append(await client.stream(prompt, 40))
 
             async def poison() -> None:
                 for client in (first, second, first, second):
@@ -84,15 +84,15 @@
                 nursery.start_soon(poison)
             crashed = [e.name for e in fleet.engines if e.exit_code is not None]
             self.assertLessEqual(len(crashed), 2, crashed)
-            for answer in innocent:
-                self.assert_whole(answer)
+            for answer in unrelated:
+                self.assert_complete(answer)
             self.assertEqual(poisoned[-1].error["code"], int(ResultCode.QUARANTINED))
             self.assertIn("retry-after", poisoned[-1].headers)
 
-    async def test_caller_that_leaves_stops_the_engine(self) -> None:
-        """A caller hangs up in the middle of a long answer.
+    async def test_caller_disconnect_cancels_the_run(self) -> None:
+        """A caller disconnects in the middle of a long answer.
 
-        Its engine would go on generating for nobody, in a slot that others wait for.
+        The engine must cancel the run, or it would occupy a slot for no caller.
         """
         plan = small_plan(n_engines=1, engine_arguments=SLOW)
         async with running_fleet(plan) as fleet:
@@ -105,5 +105,5 @@
             self.assertEqual(counted["calls"]["cancelled"], 1)
 
     async def n_attempts(self, fleet: Fleet, name: str) -> int:
-        """Return attempts that an engine took so far."""
+        """Return the number of attempts that an engine has received."""
         return sum((await fleet.counters(name))["attempts"].values())
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""A request goes through a router to an upstream, all in processes of their own."""
+"""End-to-end tests: caller, router and upstream in separate processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from corianderlb_standins.trio_case import RealTimeTestCase
 
 
-class ThinPathTest(RealTimeTestCase):
+class EndToEndTest(RealTimeTestCase):
     async def test_prompt_is_streamed_and_cached_and_call_is_repeated(self) -> None:
         plan = FleetPlan(n_engines=3, n_services=2, n_routers=2)
         prompt = nested_prompt("northwest-charcoal", "kiln-7", "batch-1")
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -1,6 +1,6 @@
-"""Read the names that leave a process, or are stored, from types and source files.
+"""Read names on the wire, in logs or in stored data from types and source files.
 
-The guard tests compare what is read here with lists that are written out in them.
+The guard tests compare these names with the lists that they contain.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 
 def lines(text: str) -> list[str]:
-    """Return the lines of a written-out list."""
+    """Return the lines of a text."""
     return text.strip().splitlines()
 
 
 def field_paths(cls: Any) -> list[str]:
     """Return the dotted paths of a type's fields in order, nested ones included.
 
-    ``[]`` marks a sequence, ``{}`` a map, ``(2)`` a tuple of two, and words after
-    ``=`` are all that the field may hold.
+    ``[]`` marks a sequence, ``{}`` a map, ``(2)`` a tuple of two; the words after
+    ``=`` are the allowed values.
     """
     return list(_paths(shape.type_info(cls), ""))
 
@@ -72,7 +72,7 @@
 
 
 def modules(package: ModuleType) -> list[ModuleType]:
-    """Return the modules of a package, without those that start a program."""
+    """Return the modules of a package, without entry points."""
     found = pkgutil.iter_modules(package.__path__, f"{package.__name__}.")
     names = [item.name for item in found if not item.name.endswith("__main__")]
     return [importlib.import_module(name) for name in names]
@@ -89,21 +89,21 @@
 
 
 def enum_values(package: ModuleType) -> list[str]:
-    """Return the values of a package's enumerations, a line each."""
+    """Return the values of a package's enumerations, one line each."""
     enums = [cls for cls in classes(package) if issubclass(cls, Enum)]
     return sorted(_values(cls) for cls in enums)
 
 
 def data_fields(package: ModuleType) -> list[str]:
-    """Return the fields of a package's data classes, a line each."""
+    """Return the fields of a package's data classes, one line each."""
     found = [cls for cls in classes(package) if is_dataclass(cls)]
     return sorted(" ".join(cls.__dataclass_fields__) for cls in found)
 
 
 def log_lines(*folders: Path) -> list[str]:
-    """Return message type and sorted field names of every log call, a line each.
+    """Return message type and sorted field names of every log call, one line each.
 
-    The varying part of a message type is written as the words it can be.
+    The variable part of a message type is written as its possible values.
     """
     found = []
     for tree in _trees(folders):
@@ -155,7 +155,7 @@
 
 
 def _words(value: ast.AST, scope: ast.AST) -> list[str]:
-    """Return the literal words that a local variable is set to."""
+    """Return the string literals that a local variable is set to."""
     if not isinstance(value, ast.Name):
         return []
     return [
@@ -178,15 +178,15 @@
     return _matching(_VARIABLE, folders)
 
 
-def _matching(wanted: re.Pattern[str], folders: tuple[Path, ...]) -> list[str]:
+def _matching(pattern: re.Pattern[str], folders: tuple[Path, ...]) -> list[str]:
     found = set()
     for tree in _trees(folders):
-        found |= {text for text in _texts(tree) if wanted.fullmatch(text)}
+        found |= {text for text in _texts(tree) if pattern.fullmatch(text)}
     return sorted(found)
 
 
 def byte_texts(*folders: Path) -> list[str]:
-    """Return the byte strings with a letter: header names and words that are hashed."""
+    """Return the byte strings with a letter: header names and hashed words."""
     return sorted(
         {
             node.value.decode("latin-1")
@@ -200,7 +200,7 @@
 
 
 def map_keys(*folders: Path) -> list[str]:
-    """Return the literal keys of maps that are made or read."""
+    """Return the literal keys with which maps are built or read."""
     found: set[str | None] = set()
     for tree in _trees(folders):
         for node in ast.walk(tree):
@@ -214,7 +214,7 @@
 
 
 def first_words(path: Path, *callees: str) -> list[str]:
-    """Return the texts that some calls in a file are given first, sorted."""
+    """Return the sorted string arguments of calls to the given functions in a file."""
     return sorted(
         text
         for node in ast.walk(ast.parse(path.read_text()))
@@ -231,7 +231,7 @@
 
 
 def _texts(tree: ast.AST) -> Iterator[str]:
-    """Yield the texts of a module, without doc strings; f-strings as templates."""
+    """Yield the strings of a module except doc strings; f-strings as templates."""
     passed = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Expr):
