--- a/packages/corianderlb-router/tests/test_forward_run.py
+++ b/packages/corianderlb-router/tests/test_forward_run.py
@@ -237,7 +237,7 @@
             for n in range(4):
                 for upstream in crashing.values():
                     upstream.alive = True
-                router.parts.health._known.clear()
+                router.parts.health._entries.clear()
                 await router.ask("/book/7", x_id=f"q{n}")
             n_runs = sum(len(upstream.requests) for upstream in crashing.values())
             self.assertLessEqual(n_runs, 3)
