--- a/packages/corianderlb-core/src/corianderlb_core/engine_choice.py
+++ b/packages/corianderlb-core/src/corianderlb_core/engine_choice.py
@@ -84,7 +84,7 @@
     kv_capacity: int
     kv_cache_address: str = ""
     kv_cache_zone: str = ""
-    token_move_s: float = DEFAULT_FETCH_S_PER_TOKEN
+    transfer_s_per_token: float = DEFAULT_FETCH_S_PER_TOKEN
     """Time to transfer a cached token within an availability zone."""
     zone: str = ""
     """The router's own availability zone."""
@@ -105,7 +105,7 @@
     scope: str
     wait_s: float
     """Estimated wait until its prefill begins."""
-    first_token_s: float
+    estimated_ttft_s: float
     """Estimated time to its first token."""
     n_missing: int
     """Tokens to prefill."""
@@ -242,15 +242,15 @@
     n_missing = query.prompt.n_prompt - n_here - n_fetched
     n_occupied = query.prompt.n_prompt
     wait_s = estimator.wait_s(query.now, n_occupied)
-    transfer_s = n_fetched * query.token_move_s
+    transfer_s = n_fetched * query.transfer_s_per_token
     if not source.is_same_zone:
         transfer_s *= CROSS_ZONE_TRANSFER_FACTOR
     fetch_s = estimator.transfer_wait_s(query.now) + transfer_s if n_fetched else 0.0
-    ttft_s = max(wait_s, fetch_s) + estimator.read_s(n_missing) + OVERHEAD_S
+    ttft_s = max(wait_s, fetch_s) + estimator.prefill_time_s(n_missing) + OVERHEAD_S
     is_held_elsewhere = any(other.coverage.n_expected > n_here for other in others)
     cost = ttft_s
     if is_held_elsewhere:
-        cost += RECOMPUTE_WEIGHT * estimator.read_s(n_recomputed)
+        cost += RECOMPUTE_WEIGHT * estimator.prefill_time_s(n_recomputed)
     if query.now + ttft_s - view.replaced_at > OUTDATED_WEIGHTS_GRACE_S:
         cost += OUTDATED_WEIGHTS_PENALTY_S
     if view.instance.zone != query.zone:
--- a/packages/corianderlb-core/src/corianderlb_core/forwarding.py
+++ b/packages/corianderlb-core/src/corianderlb_core/forwarding.py
@@ -89,7 +89,7 @@
     """Requests that run at once."""
     kv_capacity_tokens: int
     models: tuple[str, ...] = ()
-    token_move_s: float = 0.0
+    transfer_s_per_token: float = 0.0
     """Seconds to transfer one cached token over an engine's link within an availability
     zone; 0 when not configured."""
     can_copy_runs: bool = False
--- a/packages/corianderlb-core/src/corianderlb_core/lease.py
+++ b/packages/corianderlb-core/src/corianderlb_core/lease.py
@@ -52,9 +52,9 @@
     """Whether orders of an earlier holder may still arrive. Stored, because the holder
     may restart while it waits for them."""
 
-    def taken_by(self, holder: InstanceId, epoch: int, least_token: int) -> LeaseRecord:
+    def taken_by(self, holder: InstanceId, epoch: int, min_token: int) -> LeaseRecord:
         """Return the record after a change of holder."""
-        token = max(self.token + 1, least_token)
+        token = max(self.token + 1, min_token)
         return dataclasses.replace(
             self, token=token, holder=holder, epoch=epoch, renewal=self.renewal + 1
         )
--- a/packages/corianderlb-core/src/corianderlb_core/membership.py
+++ b/packages/corianderlb-core/src/corianderlb_core/membership.py
@@ -217,7 +217,7 @@
         self._schedule_announcement(suspicion.instance)
         return MergeResult.CHANGED
 
-    def take_list(self, revision: int, records: Iterable[InstanceRecord]) -> bool:
+    def merge_list(self, revision: int, records: Iterable[InstanceRecord]) -> bool:
         """Merge the platform's list; return False if it is older than the last one."""
         if revision < self._list_revision:
             return False
@@ -242,7 +242,7 @@
         if known is not None and known.unreachable_since is None:
             known.unreachable_since = now
 
-    def look(self, now: float) -> bool:
+    def update_suspicions(self, now: float) -> bool:
         """Suspect routers unreachable for too long; return False after a pause.
 
         A process that was suspended finds all its links timed out at once. It would
@@ -263,7 +263,7 @@
         self._forget(now)
         return not was_paused
 
-    def news(
+    def take_announcements(
         self, rng: random.Random, n_random: int = 0
     ) -> tuple[list[MemberState], list[Suspicion]]:
         """Return the announcements for the next heartbeat, and count them as sent.
--- a/packages/corianderlb-core/src/corianderlb_core/named_versions.py
+++ b/packages/corianderlb-core/src/corianderlb_core/named_versions.py
@@ -6,8 +6,8 @@
 later or lost its connection knows only when it last read that there was no newer
 version, and learns the age of the naming from peers that observed it.
 
-For example, after ``note(Naming(3, 10.0, after=2))`` version 2 was replaced at 10.0,
-version 1 at an unknown time, and version 3 is the newest.
+For example, after ``record_naming(Naming(3, 10.0, after=2))`` version 2 was replaced at
+10.0, version 1 at an unknown time, and version 3 is the newest.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         """The newest version; 0 if none is known."""
         return self._namings[-1].version if self._namings else 0
 
-    def note(self, naming: Naming) -> bool:
+    def record_naming(self, naming: Naming) -> bool:
         """Record a naming; return whether the history changed.
 
         Of two exact times the earlier one is kept, since announcements arrive late.
--- a/packages/corianderlb-core/src/corianderlb_core/part_index.py
+++ b/packages/corianderlb-core/src/corianderlb_core/part_index.py
@@ -59,7 +59,7 @@
         self._parts: OrderedDict[tuple[str, str], _Part] = OrderedDict()
         self._n_prefilled: dict[IncarnationKey, float] = {}
 
-    def note(
+    def record_parts(
         self,
         scope: str,
         part_ids: Sequence[str],
@@ -74,7 +74,7 @@
             ready = is_ready or (known is not None and known.is_ready)
             part.holders[incarnation] = _Holder(ready, n_prefilled)
 
-    def note_saved(self, scope: str, part_ids: Sequence[str]) -> None:
+    def record_saved(self, scope: str, part_ids: Sequence[str]) -> None:
         """Record that parts were sent to the KV cache store."""
         for part_id in part_ids:
             self._part(scope, part_id).is_saved = True
@@ -91,7 +91,7 @@
         for part in self._parts.values():
             part.holders.pop(incarnation, None)
 
-    def unread(
+    def discard_pending(
         self, scope: str, part_ids: Sequence[str], incarnation: IncarnationKey
     ) -> None:
         """Remove the pending entries of a run that was aborted during prefill."""
--- a/packages/corianderlb-core/src/corianderlb_core/prefill_estimate.py
+++ b/packages/corianderlb-core/src/corianderlb_core/prefill_estimate.py
@@ -142,7 +142,7 @@
         return math.exp(self._common.log_tokens_per_s + self._log_relative_rate)
 
     @property
-    def unread_tokens(self) -> int:
+    def queued_tokens(self) -> int:
         """Tokens that this router sent to the engine and that are not prefilled yet."""
         return sum(prefill.n_tokens for prefill in self._prefills.values())
 
@@ -231,7 +231,7 @@
         """Record a transfer to the engine."""
         self._transfers_until = max(now, self._transfers_until) + seconds
 
-    def read_s(self, n_tokens: float) -> float:
+    def prefill_time_s(self, n_tokens: float) -> float:
         """Return how long the prefill of some tokens takes."""
         return n_tokens / self.tokens_per_s
 
--- a/packages/corianderlb-core/src/corianderlb_core/retry.py
+++ b/packages/corianderlb-core/src/corianderlb_core/retry.py
@@ -84,7 +84,7 @@
     def allows(self, failure: AttemptFailure) -> bool:
         """Return whether a retry after this failure is safe."""
 
-    def given_up(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
+    def final_code(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
         """Return the code for the caller after the last failure."""
         if not may_have_run:
             return ResultCode.UPSTREAM_REFUSED
@@ -124,7 +124,7 @@
         """Return whether the failure proves that the call did not run."""
         return not failure.may_have_run
 
-    def given_up(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
+    def final_code(self, failure: AttemptFailure, may_have_run: bool) -> ResultCode:
         """Return the code for the caller after the last failure."""
         if may_have_run:
             return ResultCode.OUTCOME_UNKNOWN
@@ -203,7 +203,7 @@
         return self._budgets[name]
 
 
-class RetryRun:
+class RequestRetries:
     """Retry state of one request.
 
     Each retry is taken from the budgets in ``budget_names``. Call ``after`` once for
@@ -250,7 +250,7 @@
 
     def code_if_given_up(self, failure: AttemptFailure) -> ResultCode:
         """Return the code for the caller if the request ends after this failure."""
-        return self._policy.given_up(failure, self.may_have_run)
+        return self._policy.final_code(failure, self.may_have_run)
 
     def _delay(self, failure: AttemptFailure) -> float:
         """Return a backoff with full jitter, on top of the upstream's Retry-After."""
--- a/packages/corianderlb-core/src/corianderlb_core/service_choice.py
+++ b/packages/corianderlb-core/src/corianderlb_core/service_choice.py
@@ -50,7 +50,7 @@
         busy = max(1.0, self.n_in_flight / max(1, self.slots))
         self.latency_s += LEARN_RATE * (seconds / busy - self.latency_s)
 
-    def told(self, n_busy: int, now: float) -> None:
+    def record_report(self, n_busy: int, now: float) -> None:
         """Record the instance's own report of its load, without the answered call."""
         self.reported_busy = max(0, n_busy - 1)
         self.reported_at = now
--- a/packages/corianderlb-core/src/corianderlb_core/weights_rollout.py
+++ b/packages/corianderlb-core/src/corianderlb_core/weights_rollout.py
@@ -71,7 +71,7 @@
     """Whether a load order for any version is in progress."""
     loading_s: float
     """Seconds since that order was sent."""
-    ordered_s: float
+    since_order_s: float
     """Seconds since the last order was sent; infinite if there was none."""
     n_requests: int
     """Requests in flight on the engine that this router knows of."""
@@ -79,7 +79,7 @@
     """Whether an order can be sent now."""
     is_lost: bool = False
     """Whether the last call failed; no requests go there until its next report."""
-    is_silent: bool = False
+    is_unresponsive: bool = False
     """Whether it is unresponsive with requests in flight, and so may be lost."""
     emptying_s: float | None = None
     """Seconds since emptying began; None while it is not being emptied."""
@@ -152,7 +152,7 @@
                 for engine in engines
                 if engine.version < newest
                 and not engine.is_loading
-                and engine.ordered_s >= ORDER_RETRY_S
+                and engine.since_order_s >= ORDER_RETRY_S
                 and engine.is_reachable
             ),
             key=_load_priority,
@@ -278,7 +278,7 @@
 
 
 def _load_priority(engine: EngineWeights) -> tuple[bool, int, int, str]:
-    may_be_lost = engine.is_lost or engine.is_silent
+    may_be_lost = engine.is_lost or engine.is_unresponsive
     return (may_be_lost, engine.version, engine.n_requests, engine.instance)
 
 
--- a/packages/corianderlb-core/tests/surge_model.py
+++ b/packages/corianderlb-core/tests/surge_model.py
@@ -64,10 +64,10 @@
         now, number, n_tokens, first_at = heapq.heappop(events)
         engine = min(range(n_engines), key=free_at.__getitem__)
         wait_s = max(0.0, free_at[engine] - now)
-        read_s = n_tokens / TOKENS_PER_S
+        prefill_time_s = n_tokens / TOKENS_PER_S
         if wait_s <= OBJECTIVE_S / 3:
-            free_at[engine] = now + wait_s + read_s
-            took_s = now + wait_s + read_s - first_at
+            free_at[engine] = now + wait_s + prefill_time_s
+            took_s = now + wait_s + prefill_time_s - first_at
             outcome.waits_s.append(took_s)
             if took_s <= OBJECTIVE_S:
                 outcome.n_in_time += 1
@@ -77,6 +77,6 @@
             outcome.n_refused_twice += 1
         else:
             max_delay_s = CALLER_TIMEOUT_S * MAX_RETRY_DELAY_SHARE
-            delay_s = retry_delay(wait_s, read_s / n_engines, max_delay_s, now)
+            delay_s = retry_delay(wait_s, prefill_time_s / n_engines, max_delay_s, now)
             heapq.heappush(events, (now + delay_s, number, n_tokens, first_at))
     return outcome
--- a/packages/corianderlb-core/tests/test_engine_choice.py
+++ b/packages/corianderlb-core/tests/test_engine_choice.py
@@ -24,7 +24,9 @@
         index = PartIndex()
         views = [a_view(name) for name in "abc"]
         query = a_query(a_prompt(BIG))
-        index.note(query.scope(1), ["big"], views[1].instance.incarnation_key, True)
+        index.record_parts(
+            query.scope(1), ["big"], views[1].instance.incarnation_key, True
+        )
         choice = choose_engine(query, views, index)
         self.assertEqual(choice.view.instance.instance, "b")
         self.assertEqual(choice.n_missing, 100)
@@ -35,7 +37,9 @@
         index = PartIndex()
         views = [a_view("a", unread=40_000), a_view("b")]
         query = a_query(a_prompt(BIG))
-        index.note(query.scope(1), ["big"], views[0].instance.incarnation_key, True)
+        index.record_parts(
+            query.scope(1), ["big"], views[0].instance.incarnation_key, True
+        )
         choice = choose_engine(query, views, index)
         self.assertEqual(choice.view.instance.instance, "b")
         self.assertEqual((choice.fetch_from, choice.n_missing), ("a:80", 100))
@@ -45,7 +49,7 @@
         index = PartIndex()
         query = a_query(a_prompt(BIG))
         old, new = a_view("a", version=2), a_view("b", version=2)
-        index.note(query.scope(1), ["big"], old.instance.incarnation_key, True)
+        index.record_parts(query.scope(1), ["big"], old.instance.incarnation_key, True)
         choice = choose_engine(query, [old, new], index)
         self.assertEqual((choice.fetch_from, choice.n_missing), ("", 5100))
 
@@ -54,7 +58,9 @@
         views = [a_view("a"), a_view("b")]
         theirs = a_query(a_prompt(BIG), isolation_key="walled")
         ours = a_query(a_prompt(BIG))
-        index.note(theirs.scope(1), ["big"], views[0].instance.incarnation_key, True)
+        index.record_parts(
+            theirs.scope(1), ["big"], views[0].instance.incarnation_key, True
+        )
         choice = choose_engine(ours, views, index)
         self.assertEqual(choice.n_missing, 5100)
 
@@ -122,7 +128,9 @@
         views = [a_view(f"e{n}") for n in range(50)]
         rng, index = random.Random(1), PartIndex()
         query = a_query(a_prompt(BIG))
-        index.note(query.scope(1), ["big"], views[7].instance.incarnation_key, True)
+        index.record_parts(
+            query.scope(1), ["big"], views[7].instance.incarnation_key, True
+        )
         for _ in range(50):
             # The holder computes nothing again, and any other engine fetches the parts.
             choice = choose_engine(query, views, index, rng)
@@ -144,29 +152,29 @@
 class PartIndexTest(unittest.TestCase):
     def test_part_expires_after_enough_other_prefill(self) -> None:
         index, incarnation = PartIndex(), ("a", 1)
-        index.note("s", ["big"], incarnation, True)
+        index.record_parts("s", ["big"], incarnation, True)
         self.assertEqual(index.coverage("s", [BIG], incarnation, 100_000).n_held, 5000)
         index.count_prefilled(incarnation, 90_000)
         self.assertEqual(index.coverage("s", [BIG], incarnation, 100_000).n_held, 0)
 
     def test_new_incarnation_holds_nothing(self) -> None:
         index = PartIndex()
-        index.note("s", ["big"], ("a", 1), True)
+        index.record_parts("s", ["big"], ("a", 1), True)
         self.assertEqual(index.coverage("s", [BIG], ("a", 2), 100_000).n_held, 0)
 
     def test_later_part_counts_only_behind_the_earlier(self) -> None:
         index, incarnation = PartIndex(), ("a", 1)
-        index.note("s", ["site"], incarnation, True)
+        index.record_parts("s", ["site"], incarnation, True)
         parts = [("customer", 100), ("site", 200)]
         self.assertEqual(index.coverage("s", parts, incarnation, 100_000).n_held, 0)
 
     def test_aborted_run_holds_nothing(self) -> None:
         index, incarnation = PartIndex(), ("a", 1)
-        index.note("s", ["big"], incarnation, False)
+        index.record_parts("s", ["big"], incarnation, False)
         self.assertEqual(
             index.coverage("s", [BIG], incarnation, 100_000).n_expected, 5000
         )
-        index.unread("s", ["big"], incarnation)
+        index.discard_pending("s", ["big"], incarnation)
         self.assertEqual(index.coverage("s", [BIG], incarnation, 100_000).n_expected, 0)
 
 
--- a/packages/corianderlb-core/tests/test_forwarding.py
+++ b/packages/corianderlb-core/tests/test_forwarding.py
@@ -139,7 +139,7 @@
     def test_reported_load_counts(self) -> None:
         # Load from other routers is visible only in the instance's own report.
         busy, idle = ServiceLoad(6), ServiceLoad(6)
-        busy.told(13, 0.0)
+        busy.record_report(13, 0.0)
         pairs = [(an_instance("a"), busy), (an_instance("b"), idle)]
         chosen = choose_service(pairs, "z", 0.002, 0.1, random.Random(1))
         self.assertEqual(chosen.instance, "b")
--- a/packages/corianderlb-core/tests/test_membership.py
+++ b/packages/corianderlb-core/tests/test_membership.py
@@ -67,21 +67,21 @@
     def test_older_list_never_replaces_newer(self) -> None:
         """Guards against a stale list that revives a leaving router."""
         self.membership.merge(a_member(), 0.0)
-        self.membership.take_list(7, [a_record(presence=Presence.LEAVING)])
-        self.assertFalse(self.membership.take_list(6, [a_record()]))
+        self.membership.merge_list(7, [a_record(presence=Presence.LEAVING)])
+        self.assertFalse(self.membership.merge_list(6, [a_record()]))
         self.assertIs(self.presence(), Presence.LEAVING)
 
     def test_routers_known_only_from_the_list_are_only_candidates(self) -> None:
-        self.membership.take_list(1, [a_record("r9")])
+        self.membership.merge_list(1, [a_record("r9")])
         self.assertEqual(names(self.membership), ["r1"])
         self.assertEqual([s.instance for s in self.membership.candidates()], ["r9"])
 
     def test_unreachable_router_of_the_list_is_no_candidate(self) -> None:
         """Guards against a stopped router in the list that displaces a working link."""
-        self.membership.take_list(1, [a_record("r9")])
+        self.membership.merge_list(1, [a_record("r9")])
         self.membership.record_unreachable(InstanceId("r9"), 0.0)
         for second in range(6):
-            self.membership.look(float(second))
+            self.membership.update_suspicions(float(second))
         self.assertEqual(self.membership.candidates(), ())
         self.assertEqual([s.instance for s in self.membership.lost()], ["r9"])
         self.assertEqual(self.membership.full_state()[1], [])
@@ -90,11 +90,11 @@
         self.membership.merge(a_member(heartbeat=3), 0.0)
         self.membership.record_unreachable(InstanceId("r2"), 0.0)
         for second in range(5):
-            self.membership.look(float(second))
+            self.membership.update_suspicions(float(second))
         self.assertEqual(names(self.membership), ["r1", "r2"])
-        self.membership.look(5.0)
+        self.membership.update_suspicions(5.0)
         self.assertEqual(names(self.membership), ["r1"])
-        _, suspected = self.membership.news(random.Random(1))
+        _, suspected = self.membership.take_announcements(random.Random(1))
         self.assertEqual(suspected, [Suspicion(InstanceId("r2"), 1, 3)])
         self.membership.merge(a_member(heartbeat=3), 6.0)
         self.assertEqual(names(self.membership), ["r1"])
@@ -103,7 +103,7 @@
 
     def test_suspected_router_refutes_the_suspicion(self) -> None:
         self.membership.merge_suspicion(Suspicion(InstanceId("r1"), 1, 40), 0.0)
-        states, _ = self.membership.news(random.Random(1))
+        states, _ = self.membership.take_announcements(random.Random(1))
         self.assertEqual((states[0].instance, states[0].heartbeat), ("r1", 41))
 
     def test_restart_with_a_clock_that_went_back_is_detected(self) -> None:
@@ -117,9 +117,9 @@
         for name in ("r2", "r3"):
             self.membership.merge(a_member(name), 0.0)
             self.membership.record_unreachable(InstanceId(name), 0.5)
-        self.assertTrue(self.membership.look(1.0))
-        self.assertFalse(self.membership.look(61.0))
-        self.membership.look(62.0)
+        self.assertTrue(self.membership.update_suspicions(1.0))
+        self.assertFalse(self.membership.update_suspicions(61.0))
+        self.membership.update_suspicions(62.0)
         self.assertEqual(names(self.membership), ["r1", "r2", "r3"])
 
 
--- a/packages/corianderlb-core/tests/test_named_versions.py
+++ b/packages/corianderlb-core/tests/test_named_versions.py
@@ -13,7 +13,7 @@
         """Build a history from namings in the order of their arrival."""
         history = NamedVersions()
         for naming in namings:
-            history.note(naming)
+            history.record_naming(naming)
         return history
 
     def test_observed_namings(self) -> None:
@@ -35,7 +35,7 @@
         history = self.a_history(Naming(3, 5.0, after=2), Naming(5, 9.0, after=4))
         self.assertEqual(history.replaced_at(4), 9.0)
         self.assertEqual(history.replaced_at(3), 5.0)
-        history.note(Naming(4, 7.0, after=3))
+        history.record_naming(Naming(4, 7.0, after=3))
         self.assertEqual(history.replaced_at(3), 7.0)
 
     def test_skipped_version_numbers(self) -> None:
@@ -46,15 +46,15 @@
     def test_earlier_of_two_exact_times_is_kept(self) -> None:
         """Guards against an age that shrinks with each router that forwards it."""
         history = self.a_history(Naming(2, 9.0, after=1))
-        self.assertTrue(history.note(Naming(2, 8.9, after=1)))
-        self.assertFalse(history.note(Naming(2, 9.1, after=1)))
-        self.assertFalse(history.note(Naming(2, 1.0, after=1, is_exact=False)))
+        self.assertTrue(history.record_naming(Naming(2, 8.9, after=1)))
+        self.assertFalse(history.record_naming(Naming(2, 9.1, after=1)))
+        self.assertFalse(history.record_naming(Naming(2, 1.0, after=1, is_exact=False)))
         self.assertEqual(history.replaced_at(1), 8.9)
 
     def test_exact_time_replaces_a_lower_bound(self) -> None:
         history = self.a_history(Naming(2, -math.inf, is_exact=False))
         self.assertEqual(history.replaced_at(1), -math.inf)
-        history.note(Naming(2, 8.9, after=1))
+        history.record_naming(Naming(2, 8.9, after=1))
         self.assertEqual(history.replaced_at(1), 8.9)
         self.assertEqual(history.exact(since=8.0), [Naming(2, 8.9, after=1)])
         self.assertEqual(history.exact(since=9.0), [])
--- a/packages/corianderlb-core/tests/test_retry.py
+++ b/packages/corianderlb-core/tests/test_retry.py
@@ -12,11 +12,11 @@
     GiveUp,
     NonRepeatableCallRetry,
     RepeatableCallRetry,
+    RequestRetries,
     Retry,
     RetryBudget,
     RetryBudgets,
     RetryPolicy,
-    RetryRun,
 )
 
 
@@ -28,8 +28,8 @@
     policy: RetryPolicy | None = None,
     budgets: RetryBudgets | None = None,
     deadline: float = 100.0,
-) -> RetryRun:
-    return RetryRun(
+) -> RequestRetries:
+    return RequestRetries(
         policy or CompletionRetry(),
         budgets or RetryBudgets(),
         ("upstream/u", "account/a"),
@@ -62,7 +62,7 @@
         """Guards against a thundering herd after many requests fail at once."""
         waits = set()
         for seed in range(50):
-            run = RetryRun(
+            run = RequestRetries(
                 CompletionRetry(), RetryBudgets(), ("u",), 100.0, random.Random(seed)
             )
             action = run.after(a_failure(retry_after_s=3.0), 0.0)
--- a/packages/corianderlb-core/tests/test_weights_rollout.py
+++ b/packages/corianderlb-core/tests/test_weights_rollout.py
@@ -29,7 +29,7 @@
     def test_at_most_two_idle_engines_load_at_once(self) -> None:
         engines = [engine(name, 1) for name in "abcd"]
         self.assertEqual(plan_rollout(engines, 2).orders, ("a", "b"))
-        loading = engine("a", 1, is_loading=True, loading_s=0.1, ordered_s=0.1)
+        loading = engine("a", 1, is_loading=True, loading_s=0.1, since_order_s=0.1)
         self.assertEqual(plan_rollout([loading, *engines[1:]], 2).orders, ("b",))
 
     def test_concurrent_loads_scale_with_the_fleet(self) -> None:
@@ -47,8 +47,8 @@
 
     def test_stalled_load_does_not_block_the_others(self) -> None:
         # A stalled load that kept its slot would leave the fleet on its old weights.
-        stalled = engine("a", 1, is_loading=True, loading_s=9.0, ordered_s=9.0)
-        late = engine("b", 1, is_loading=True, loading_s=8.5, ordered_s=8.5)
+        stalled = engine("a", 1, is_loading=True, loading_s=9.0, since_order_s=9.0)
+        late = engine("b", 1, is_loading=True, loading_s=8.5, since_order_s=8.5)
         self.assertEqual(
             plan_rollout([stalled, late, engine("c", 1)], 2).orders, ("c",)
         )
--- a/packages/corianderlb-router/src/corianderlb_router/attempt.py
+++ b/packages/corianderlb-router/src/corianderlb_router/attempt.py
@@ -27,9 +27,9 @@
 from corianderlb_core.retry import (
     AttemptFailure,
     FailureKind,
+    RequestRetries,
     RetryBudgets,
     RetryPolicy,
-    RetryRun,
 )
 from corianderlb_core.settings import DataPathSettings
 from corianderlb_core.status import AttemptReport
@@ -151,7 +151,9 @@
         self._rank: int | None = None
         names = (f"upstream/{facts.upstream}", f"account/{facts.account}")
         parts.budgets.record_first_attempt(names, trio.current_time())
-        self.retries = RetryRun(policy, parts.budgets, names, facts.deadline, parts.rng)
+        self.retries = RequestRetries(
+            policy, parts.budgets, names, facts.deadline, parts.rng
+        )
         """Decides whether and when a failed attempt is retried."""
 
     async def wait_after_crash(self) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/composition.py
+++ b/packages/corianderlb-router/src/corianderlb_router/composition.py
@@ -124,7 +124,7 @@
         policy = make_policy(cfg.placement, self.rng, cfg.zone)
         self.placer = PolicyPlacer(policy, self.directory, self.rng)
         self.directory.on_incarnation_ended = self.placer.forget
-        receivers = [self.directory.apply_instance_list, self.peers.take_list]
+        receivers = [self.directory.apply_instance_list, self.peers.merge_list]
         self.instances = InstanceListReader(self.store, receivers, self.peers, self.rng)
         self.loads = UpstreamReader(
             self.own,
--- a/packages/corianderlb-router/src/corianderlb_router/engine_table.py
+++ b/packages/corianderlb-router/src/corianderlb_router/engine_table.py
@@ -154,7 +154,7 @@
         views = allowed_or_all(views, lambda view: not self._is_in_backoff(view, now))
         return choose_engine(query, views, self.index, self._rng)
 
-    def is_silent(self, instance: ForwardInstance) -> bool:
+    def is_unresponsive(self, instance: ForwardInstance) -> bool:
         """Return whether an engine with requests of this router is unresponsive."""
         if not self._engine(instance).estimator.n_requests:
             return False
@@ -259,7 +259,7 @@
                 # Another router may be about to prefill the same parts on another
                 # engine.
                 self._update_requested.set()
-            self.index.note(choice.scope, part_ids, incarnation_key, False)
+            self.index.record_parts(choice.scope, part_ids, incarnation_key, False)
             self._part_announcements.append(
                 PartsAnnouncement(choice.scope, tuple(part_ids), *incarnation_key)
             )
@@ -272,21 +272,25 @@
         choice.view.estimator.first_token(key, trio.current_time())
         if not part_ids:
             return
-        self.index.note(choice.scope, part_ids, incarnation_key, True)
+        self.index.record_parts(choice.scope, part_ids, incarnation_key, True)
         if saved:
-            self.index.note_saved(choice.scope, part_ids)
+            self.index.record_saved(choice.scope, part_ids)
         announcement = PartsAnnouncement(
             choice.scope, tuple(part_ids), *incarnation_key, True, saved
         )
         self._part_announcements.append(announcement)
 
     def ended(
-        self, key: str, choice: EngineChoice, part_ids: Sequence[str], was_read: bool
+        self,
+        key: str,
+        choice: EngineChoice,
+        part_ids: Sequence[str],
+        has_first_token: bool,
     ) -> None:
         """Record that an attempt has ended."""
         choice.view.estimator.ended(key, trio.current_time())
-        if not was_read:
-            self.index.unread(
+        if not has_first_token:
+            self.index.discard_pending(
                 choice.scope, part_ids, choice.view.instance.incarnation_key
             )
 
@@ -330,14 +334,14 @@
                 self._engine(instance).unreachable_reports[sender] = now
         for announcement in update.parts:
             incarnation_key = (announcement.instance, announcement.born_ms)
-            self.index.note(
+            self.index.record_parts(
                 announcement.scope,
                 announcement.part_ids,
                 incarnation_key,
                 announcement.is_ready,
             )
             if announcement.is_saved:
-                self.index.note_saved(announcement.scope, announcement.part_ids)
+                self.index.record_saved(announcement.scope, announcement.part_ids)
 
     async def run(self) -> None:
         """Send updates to the peers until cancelled."""
@@ -423,7 +427,7 @@
     estimator = engine.estimator
     return EngineWork(
         *incarnation_key,
-        estimator.unread_tokens,
+        estimator.queued_tokens,
         estimator.n_requests,
         n_read,
         estimator.n_held,
--- a/packages/corianderlb-router/src/corianderlb_router/forward_node.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_node.py
@@ -250,7 +250,7 @@
         )
 
         def on_listing(listed: InstanceList) -> None:
-            self._peers.take_list(listed)
+            self._peers.merge_list(listed)
 
         await self._ports.registration.keep(record, on_listing)
 
--- a/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
@@ -85,12 +85,14 @@
         return found
 
     def retry_delay_s(
-        self, upstream: str, wait_s: float, read_s: float, most_s: float
+        self, upstream: str, wait_s: float, prefill_time_s: float, most_s: float
     ) -> float:
         """Return the time in seconds after which a caller should retry an upstream."""
         schedule = self.return_schedules.setdefault(upstream, ReturnSchedule())
         now = trio.current_time()
-        return schedule.retry_delay_s(wait_s, read_s, most_s, self.n_routers, now)
+        return schedule.retry_delay_s(
+            wait_s, prefill_time_s, most_s, self.n_routers, now
+        )
 
     def service(self, incarnation_key: IncarnationKey, slots: int) -> ServiceLoad:
         """Return the load of one incarnation of a service instance."""
--- a/packages/corianderlb-router/src/corianderlb_router/forward_run.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_run.py
@@ -211,7 +211,7 @@
         estimate_s = self._parts.retry_delay_s(
             self._target.upstream,
             found.retry_after_s,
-            found.read_s,
+            found.prefill_time_s,
             left_s * MAX_RETRY_AFTER_SHARE,
         )
         return refuse(code, detail, self._retry_after_s(estimate_s))
@@ -280,7 +280,7 @@
         finally:
             parts.in_flight.end(AttemptId(key))
             parts.health.ended(instance.incarnation_key)
-            self._target.ended(key, placement, was_read=bool(first_at))
+            self._target.ended(key, placement, has_first_token=bool(first_at))
 
     # Failure handling.
 
--- a/packages/corianderlb-router/src/corianderlb_router/forward_target.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_target.py
@@ -64,7 +64,7 @@
     """Estimated time until an instance can take it."""
     detail: str = ""
     """The deciding estimate, for the log."""
-    read_s: float = 0.0
+    prefill_time_s: float = 0.0
     """Prefill time of the request, divided by the number of engines. It spaces the
     retries of refused callers."""
 
@@ -121,7 +121,7 @@
     def unreached(self, placement: Placement) -> None:
         """Record that a connection to the instance failed."""
 
-    def ended(self, key: str, placement: Placement, was_read: bool) -> None:
+    def ended(self, key: str, placement: Placement, has_first_token: bool) -> None:
         """Record that an attempt has ended."""
 
 
@@ -193,9 +193,9 @@
         """Update the load that the instance reports."""
         if head.load is not None:
             n_busy = head.load.n_running + head.load.n_waiting
-            self._load(placement).told(n_busy, trio.current_time())
+            self._load(placement).record_report(n_busy, trio.current_time())
 
-    def ended(self, key: str, placement: Placement, was_read: bool) -> None:
+    def ended(self, key: str, placement: Placement, has_first_token: bool) -> None:
         """Remove the call from the calls in flight."""
         self._load(placement).ended()
 
@@ -230,11 +230,13 @@
             )
             estimator = choice.view.estimator
             n_engines = len(self.parts.state.instances(self.upstream))
-            read_s = estimator.read_s(choice.n_missing) / max(1, n_engines)
-            return NoPlacement("queue", choice.wait_s, detail, read_s)
+            prefill_time_s = estimator.prefill_time_s(choice.n_missing) / max(
+                1, n_engines
+            )
+            return NoPlacement("queue", choice.wait_s, detail, prefill_time_s)
         save_to = query.kv_cache_address if self._is_worth_saving(choice) else ""
         return Placement(
-            choice.view.instance, choice.first_token_s, choice, save_to=save_to
+            choice.view.instance, choice.estimated_ttft_s, choice, save_to=save_to
         )
 
     def fallback(self, placement: Placement) -> Placement | None:
@@ -326,10 +328,10 @@
         if head.not_run or head.is_misdirected:
             engines.refused(placement.instance)
 
-    def ended(self, key: str, placement: Placement, was_read: bool) -> None:
+    def ended(self, key: str, placement: Placement, has_first_token: bool) -> None:
         """Remove the prompt's tokens from those in flight."""
         assert placement.choice is not None
-        self.parts.engines.ended(key, placement.choice, self._part_ids, was_read)
+        self.parts.engines.ended(key, placement.choice, self._part_ids, has_first_token)
 
     def unreached(self, placement: Placement) -> None:
         """Back off from the engine, and announce to peers that it is unreachable."""
@@ -351,7 +353,8 @@
             kv_capacity=upstream.engine.kv_capacity_tokens,
             kv_cache_address=kv_cache.kv_cache_address if kv_cache else "",
             kv_cache_zone=kv_cache.zone if kv_cache else "",
-            token_move_s=upstream.engine.token_move_s or DEFAULT_FETCH_S_PER_TOKEN,
+            transfer_s_per_token=upstream.engine.transfer_s_per_token
+            or DEFAULT_FETCH_S_PER_TOKEN,
             zone=self.parts.cfg.zone,
             now=now,
         )
--- a/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/lease_holder.py
@@ -104,7 +104,7 @@
         )
 
     async def acquire(
-        self, must_await_earlier_orders: bool, least_token: int = 1
+        self, must_await_earlier_orders: bool, min_token: int = 1
     ) -> bool:
         """Read the lease, take it if it is free, and return ``may_act``.
 
@@ -134,7 +134,7 @@
             # their order count, so wait only for those of a holder before it.
             must_settle = self._record.is_settling
             settled_at = max(now, settled_at) if must_settle else now
-        await self._take(stored, least_token, settled_at)
+        await self._take(stored, min_token, settled_at)
         self._start_holding(settled_at, others_send_until)
         return self.may_act()
 
@@ -244,9 +244,9 @@
         return now >= self._watch.lease_expires_at(self.terms)
 
     async def _take(
-        self, stored: StoredObject | None, least_token: int, settled_at: float
+        self, stored: StoredObject | None, min_token: int, settled_at: float
     ) -> None:
-        record = self._record.taken_by(self._router, self._epoch, least_token)
+        record = self._record.taken_by(self._router, self._epoch, min_token)
         is_settling = settled_at > trio.current_time()
         record = dataclasses.replace(record, is_settling=is_settling)
         data = to_cbor(record)
--- a/packages/corianderlb-router/src/corianderlb_router/peer_network.py
+++ b/packages/corianderlb-router/src/corianderlb_router/peer_network.py
@@ -181,9 +181,9 @@
         others = (*self._membership.candidates(), *self._membership.lost())
         return any(state.presence is Presence.LIVE for state in others)
 
-    def take_list(self, listed: InstanceList) -> bool:
+    def merge_list(self, listed: InstanceList) -> bool:
         """Apply the platform's list of instances; return False for an older one."""
-        taken = self._membership.take_list(listed.revision, listed.instances)
+        taken = self._membership.merge_list(listed.revision, listed.instances)
         self._links_check_requested.set()
         self._list_received.set()
         return taken
@@ -228,7 +228,7 @@
         self._n_heartbeats += 1
         own = self._membership.beat(*self.version())
         n_random = 0 if self._n_heartbeats % RANDOM_MEMBER_EVERY else 1
-        states, suspected = self._membership.news(self._rng, n_random)
+        states, suspected = self._membership.take_announcements(self._rng, n_random)
         self._record_heartbeat_time(own.heartbeat)
         for conn in self._links:
             beat = Heartbeat(
@@ -253,7 +253,7 @@
         suspect_retry_at = trio.current_time() + self._jittered_s(SUSPECT_RETRY_S)
         while True:
             now = trio.current_time()
-            was_running = self._membership.look(now)
+            was_running = self._membership.update_suspicions(now)
             self._close_silent_links(now, was_running)
             for state in (*self._missing_links(), *self._seed_candidates()):
                 self._start_dial(nursery, state)
--- a/packages/corianderlb-router/src/corianderlb_router/serving_state.py
+++ b/packages/corianderlb-router/src/corianderlb_router/serving_state.py
@@ -182,7 +182,7 @@
         return first_at is not None and trio.current_time() - first_at < EXPIRY_GRACE_S
 
     @property
-    def settles_at(self) -> float:
+    def removals_apply_at(self) -> float:
         """Time from which entries missing after a store outage count as removed."""
         return self._store_back_at + EXPIRY_GRACE_S
 
@@ -209,7 +209,7 @@
             for stored in listing.objects
             if self._revision(table, stored.name) < stored.revision
         ]
-        if kind == self.instances_kind and trio.current_time() < self.settles_at:
+        if kind == self.instances_kind and trio.current_time() < self.removals_apply_at:
             missing = [name for name in missing if self._is_leaving_or_unknown(name)]
         self._apply(table, changed, missing, listing.revision)
 
@@ -240,7 +240,7 @@
                 removed.pop(name, None)
                 changed[name] = change.object
         gone = list(removed)
-        if kind == self.instances_kind and trio.current_time() < self.settles_at:
+        if kind == self.instances_kind and trio.current_time() < self.removals_apply_at:
             gone = [name for name in gone if self._is_leaving_or_unknown(name)]
         self._apply(table, list(changed.values()), gone, update.revision)
 
@@ -428,7 +428,7 @@
         named = self._named.setdefault(model, NamedVersions())
         was_exact = named.is_newest_exact
         is_newer = naming.version > named.newest
-        if not named.note(naming):
+        if not named.record_naming(naming):
             return
         if is_newer:
             self._newer_version_at[model] = trio.current_time()
--- a/packages/corianderlb-router/src/corianderlb_router/state_follower.py
+++ b/packages/corianderlb-router/src/corianderlb_router/state_follower.py
@@ -129,12 +129,12 @@
         settled_until = float("-inf")
         while True:
             try:
-                if must_list or self._state.settles_at > settled_until:
-                    settles_at = self._state.settles_at
+                if must_list or self._state.removals_apply_at > settled_until:
+                    removals_apply_at = self._state.removals_apply_at
                     await self._list(kind)
                     must_list = False
-                    if trio.current_time() >= settles_at:
-                        settled_until = settles_at
+                    if trio.current_time() >= removals_apply_at:
+                        settled_until = removals_apply_at
                 has_changes = await self._watch(kind)
                 n_failed = 0
                 if has_changes and kind == self._state.instances_kind:
@@ -162,7 +162,7 @@
         """Wait for changes of a kind; return whether there were any."""
         table = self._state.tables[kind]
         wait_s = self._watch_s()
-        remaining_s = self._state.settles_at - trio.current_time()
+        remaining_s = self._state.removals_apply_at - trio.current_time()
         if remaining_s > 0:
             wait_s = max(0.1, min(wait_s, remaining_s))
         started_at = trio.current_time()
--- a/packages/corianderlb-router/src/corianderlb_router/weights_controller.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_controller.py
@@ -180,11 +180,11 @@
             version=view.weights_version,
             is_loading=engine.is_loading,
             loading_s=now - engine.ordered_at,
-            ordered_s=now - engine.ordered_at,
+            since_order_s=now - engine.ordered_at,
             n_requests=view.estimator.n_reported_requests(now),
             is_reachable=engine.sent_orders.unreachable_until <= now,
             is_lost=self._is_lost(instance, engine.sent_orders),
-            is_silent=self._table.is_silent(instance),
+            is_unresponsive=self._table.is_unresponsive(instance),
             emptying_s=phase_s if engine.phase in DRAIN_PHASES else None,
             resting_s=phase_s if engine.phase is EnginePhase.RESTING else None,
         )
--- a/packages/corianderlb-router/tests/data_path_fakes.py
+++ b/packages/corianderlb-router/tests/data_path_fakes.py
@@ -65,7 +65,7 @@
     an_adapter,
     an_upstream,
 )
-from corianderlb_standins.open_admission import OpenAdmission
+from corianderlb_standins.unlimited_admission import UnlimitedAdmission
 
 N_EVENTS = 6
 """Number of events of a fake answer before the terminal event."""
@@ -452,7 +452,7 @@
         self.dispatcher = Dispatcher(
             self.parts,
             FixedCatalogue(the_catalogue()),
-            OpenAdmission(),
+            UnlimitedAdmission(),
             self.journal,
             self.exchanges,
         )
--- a/packages/corianderlb-router/tests/test_catalogue_follower.py
+++ b/packages/corianderlb-router/tests/test_catalogue_follower.py
@@ -97,7 +97,7 @@
         with self.scope:
             async with trio.open_nursery() as nursery:
                 await nursery.start(self.peers.run)
-                self.peers.take_list(InstanceList(1, tuple(records)))
+                self.peers.merge_list(InstanceList(1, tuple(records)))
                 nursery.start_soon(self.reader.run)
                 while True:
                     await self.follower.wait_changed()
--- a/packages/corianderlb-router/tests/test_peer_network.py
+++ b/packages/corianderlb-router/tests/test_peer_network.py
@@ -67,7 +67,7 @@
         rng = random.Random(f"{record.instance}{epoch}")
         made = OverlayNetwork(own, key, transport, self.cfg, rng)
         if self.listed:
-            made.take_list(InstanceList(1, tuple(self.records)))
+            made.merge_list(InstanceList(1, tuple(self.records)))
         return made
 
     async def run_one(self, name: str) -> None:
@@ -333,7 +333,7 @@
                     )
                 networks[1].subscribe(UpstreamLeaving, on_message)
                 for network in networks:
-                    network.take_list(InstanceList(2, tuple(records)))
+                    network.merge_list(InstanceList(2, tuple(records)))
                 while not networks[0].linked():
                     await trio.sleep(0.05)
                 networks[0].broadcast(UpstreamLeaving(InstanceId("e1"), 7))
--- a/packages/corianderlb-standins/src/corianderlb_standins/batch.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/batch.py
@@ -34,7 +34,7 @@
     keys: tuple[bytes, ...]
     n_tokens: int
     priority: int = 1
-    n_made: int = 0
+    n_generated: int = 0
     """Tokens generated so far."""
     n_hits: int = 0
     done: bool = False
@@ -138,7 +138,7 @@
     def _decode_step(self) -> None:
         """Give each running job one token and free the slots of finished jobs."""
         for job in self._running:
-            job.n_made += not job.cancelled
-            job.done = job.n_made >= job.n_tokens
+            job.n_generated += not job.cancelled
+            job.done = job.n_generated >= job.n_tokens
             job.changed.unpark_all()
         self._running = [j for j in self._running if not (j.done or j.cancelled)]
--- a/packages/corianderlb-standins/src/corianderlb_standins/demo.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/demo.py
@@ -72,7 +72,7 @@
             print(f"  -   a prompt of {n_chars} characters is shorter than one piece")
 
     def _report_stream(self, name: str, answer: StreamAnswer) -> None:
-        passed = answer.status == 200 and answer.complete and answer.in_order
+        passed = answer.status == 200 and answer.complete and answer.is_in_order
         detail = f" {answer.error}" if answer.error else ""
         self._report_check(
             passed,
--- a/packages/corianderlb-standins/src/corianderlb_standins/engine.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/engine.py
@@ -258,7 +258,7 @@
         digest = digest_prompt(completion.prompt)
         index = int(call.headers.get(header.RESUME_FROM, "0"))
         while index < job.n_tokens:
-            if index >= job.n_made:
+            if index >= job.n_generated:
                 if job.cancelled:
                     await call.write(b"", more=False)
                     return
--- a/packages/corianderlb-standins/src/corianderlb_standins/fleet.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/fleet.py
@@ -244,9 +244,9 @@
         """Wait until all routers are ready."""
         with trio.fail_after(READY_TIMEOUT_S):
             for router in self.routers:
-                await self.until_ready(router)
+                await self.wait_until_ready(router)
 
-    async def until_ready(self, router: Process) -> None:
+    async def wait_until_ready(self, router: Process) -> None:
         """Wait until a router is ready."""
 
         async def ready() -> bool:
@@ -262,7 +262,7 @@
         """Set the faults of a stand-in, bypassing its proxy."""
         await self._set_fault(self.processes[name].address, fields)
 
-    async def proxy_fault(self, name: str, **fields: Any) -> None:
+    async def set_proxy_fault(self, name: str, **fields: Any) -> None:
         """Set the faults of a process's fault proxy."""
         await self._set_fault(self.proxies[name].addresses["control"], fields)
 
--- a/packages/corianderlb-standins/src/corianderlb_standins/load_client.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/load_client.py
@@ -41,7 +41,7 @@
         return int(self.usage.get("prompt_tokens_details", {}).get("cached_tokens", 0))
 
     @property
-    def in_order(self) -> bool:
+    def is_in_order(self) -> bool:
         """Whether the event ids count from 0 without gap or repeat."""
         return self.indices == list(range(len(self.indices)))
 
--- a/packages/corianderlb-standins/src/corianderlb_standins/open_admission.py
+++ b/packages/corianderlb-standins/src/corianderlb_standins/unlimited_admission.py
@@ -13,7 +13,7 @@
         """Do nothing."""
 
 
-class OpenAdmission(Admission):
+class UnlimitedAdmission(Admission):
     """Admission that admits every request at once."""
 
     async def admit(self, facts: RequestFacts) -> Slot | Refusal:
--- a/packages/corianderlb-standins/tests/test_engine_batch.py
+++ b/packages/corianderlb-standins/tests/test_engine_batch.py
@@ -33,7 +33,7 @@
                 job = a_job(name)
                 started = trio.current_time()
                 batch.submit(job)
-                while not job.n_made:
+                while not job.n_generated:
                     await job.changed.park()
                 took.append(trio.current_time() - started)
             nursery.cancel_scope.cancel()
@@ -72,7 +72,7 @@
             await trio.sleep(1.0)
             batch.submit(short)
             await trio.sleep(1.0)
-            self.assertEqual(short.n_made, 0)
+            self.assertEqual(short.n_generated, 0)
             long.cancel()
             await trio.sleep(1.0)
             self.assertTrue(short.done)
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -40,7 +40,7 @@
         """Check that a stream is complete and in order, and its text if given."""
         self.assertEqual(answer.status, 200, answer)
         self.assertTrue(answer.complete, answer)
-        self.assertTrue(answer.in_order, answer.indices)
+        self.assertTrue(answer.is_in_order, answer.indices)
         self.assertEqual(answer.error, {})
         if text is not None:
             self.assertEqual(answer.text, text)
--- a/tests/test_thin_path.py
+++ b/tests/test_end_to_end.py
@@ -21,7 +21,7 @@
             cold = await first.stream(prompt)
             warm = await second.stream(prompt)
             self.assertEqual((cold.status, cold.complete), (200, True), cold)
-            self.assertTrue(cold.in_order)
+            self.assertTrue(cold.is_in_order)
             self.assertEqual(cold.cached_tokens, 0)
             self.assertEqual(warm.cached_tokens, 4000)
             self.assertEqual(warm.text, cold.text)
--- a/tests/test_fleet_catalogue.py
+++ b/tests/test_fleet_catalogue.py
@@ -52,7 +52,7 @@
 
 
 class FleetCatalogueTest(RealTimeTestCase):
-    async def test_herd_start(self) -> None:
+    async def test_simultaneous_start(self) -> None:
         """All routers are killed and restarted together, as after a power failure.
 
         Full reads by every router would overload the store.
@@ -84,7 +84,7 @@
             await victim.kill()
             await fleet.restart(victim.name)
             with trio.fail_after(10):
-                await fleet.until_ready(victim)
+                await fleet.wait_until_ready(victim)
             self.assertEqual(await versions_in_force(fleet), {2})
 
     async def test_store_fails_right_after_acceptance(self) -> None:
@@ -99,7 +99,7 @@
             history = json.loads(await fleet.ctl("history", "--output", "json"))
             self.assertEqual(len(history), 2)
 
-    async def test_connections_to_the_store_go_silent(self) -> None:
+    async def test_store_connections_become_unresponsive(self) -> None:
         """All open connections to the store stall, while new ones work.
 
         The routers must time out their watches and pooled connections and have the
@@ -110,7 +110,7 @@
         )
         async with running_fleet(plan) as fleet:
             await trio.sleep(1)
-            await fleet.proxy_fault("store", freeze_now=True)
+            await fleet.set_proxy_fault("store", freeze_now=True)
             await accept_edits(fleet, 1)
             with trio.fail_after(13):
                 await until_in_force(fleet, 2)
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -67,7 +67,7 @@
                 self.assertTrue((await send_prompt(fleet, 0, prompt)).complete)
             await fleet.routers[1].kill()
             await fleet.restart("router-2")
-            await fleet.until_ready(fleet.routers[1])
+            await fleet.wait_until_ready(fleet.routers[1])
             for prompt in PROMPTS:
                 answer = await send_prompt(fleet, 1, prompt)
                 self.assertEqual(answer.cached_tokens, 4000)
@@ -93,7 +93,7 @@
             await until(is_back)
             answers = [await send_prompt(fleet, 0, PROMPTS[0]) for _ in range(4)]
             for answer in (during_outage, *answers):
-                self.assertTrue(answer.complete and answer.in_order, answer)
+                self.assertTrue(answer.complete and answer.is_in_order, answer)
             epoch, hits = await candidate_of(fleet, answers[0], name)
             self.assertGreater(epoch, old)
             self.assertEqual(hits, 0)
--- a/tests/test_processes_calls.py
+++ b/tests/test_processes_calls.py
@@ -57,16 +57,16 @@
             LoadClient(fleet.routers[1].address) as second,
         ):
             for service in fleet.services:
-                await fleet.proxy_fault(service.name, drop_replies=-1)
+                await fleet.set_proxy_fault(service.name, drop_replies=-1)
             lost = await first.call("POST", PATH, {"a": 1}, KEY)
             for service in fleet.services:
-                await fleet.proxy_fault(service.name, drop_replies=0)
+                await fleet.set_proxy_fault(service.name, drop_replies=0)
             again = await second.call("POST", PATH, {"a": 1}, KEY)
             self.assertEqual(self.code_of(lost), ResultCode.OUTCOME_UNKNOWN)
             self.assertEqual(self.code_of(again), ResultCode.OUTCOME_UNKNOWN)
             self.assertEqual(await self.count_runs(fleet), 1)
 
-    async def test_pooled_connections_are_dead_and_silent(self) -> None:
+    async def test_pooled_connections_are_unresponsive(self) -> None:
         """Idle connections in the pool stall without being closed.
 
         A call sent on one of them would have an unknown outcome; it must run once.
@@ -80,7 +80,7 @@
                 await client.call("GET", "status/kiln-7")
             n_before = await self.count_runs(fleet)
             for service in fleet.services:
-                await fleet.proxy_fault(service.name, freeze_now=True)
+                await fleet.set_proxy_fault(service.name, freeze_now=True)
             answer = await client.call("POST", PATH, {"a": 1}, KEY)
             self.assertEqual(answer.status_code, 200, answer.text)
             self.assertEqual(await self.count_runs(fleet), n_before + 1)
--- a/tests/test_processes_storm.py
+++ b/tests/test_processes_combined_faults.py
@@ -40,8 +40,8 @@
                 await trio.sleep(0.4)
                 await fleet.engines[0].kill()
                 await fleet.fault("store", lose_answers=3)
-                await fleet.proxy_fault("engine-2", freeze_now=True)
-                await fleet.proxy_fault("service-1", freeze_now=True)
+                await fleet.set_proxy_fault("engine-2", freeze_now=True)
+                await fleet.set_proxy_fault("service-1", freeze_now=True)
                 await fleet.routers[2].kill()
             for answer in streams.values():
                 self.assert_complete(answer)
--- a/tests/test_processes_orders.py
+++ b/tests/test_processes_orders.py
@@ -73,7 +73,7 @@
             orders = await self.orders(fleet)
             self.assertEqual([len(taken) for taken in orders.values()], [1, 1])
 
-    async def test_holder_is_frozen_past_its_lease(self) -> None:
+    async def test_lease_holder_is_paused_past_its_lease(self) -> None:
         """The lease holder is paused and resumes after another router took over.
 
         The engines do not check fencing tokens, so the old holder must notice the
--- a/tests/test_processes_outage.py
+++ b/tests/test_processes_outage.py
@@ -22,7 +22,7 @@
         """
         plan = small_plan(n_routers=2, proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
-            await fleet.proxy_fault("store", refuse=True, cut_now=True)
+            await fleet.set_proxy_fault("store", refuse=True, cut_now=True)
             await trio.sleep(3.0)
             for router in fleet.routers:
                 async with LoadClient(router.address) as client:
@@ -65,7 +65,7 @@
                 return 2 in found
 
             await until(any_router_has_it)
-            await fleet.proxy_fault("store", refuse=True, cut_now=True)
+            await fleet.set_proxy_fault("store", refuse=True, cut_now=True)
 
             async def all_routers_have_it() -> bool:
                 found = [await self.version_of(fleet, r.name) for r in fleet.routers]
--- a/tests/test_processes_start.py
+++ b/tests/test_processes_start.py
@@ -21,11 +21,11 @@
         plan = small_plan(n_routers=3, proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
             await fleet.apply(*default_entries(import_s_per_piece=0.03))
-            await fleet.proxy_fault("store", refuse=True, cut_now=True)
+            await fleet.set_proxy_fault("store", refuse=True, cut_now=True)
             router = fleet.routers[0]
             await router.kill()
             await fleet.restart(router.name)
-            await fleet.until_ready(router)
+            await fleet.wait_until_ready(router)
             self.assertEqual(await self.version_of(fleet, router.name), 2)
             async with LoadClient(router.address) as client:
                 self.assert_complete(await client.stream(PROMPT))
@@ -38,7 +38,7 @@
         """
         plan = small_plan(proxied=frozenset({"store"}))
         async with running_fleet(plan) as fleet:
-            await fleet.proxy_fault("store", refuse=True, cut_now=True)
+            await fleet.set_proxy_fault("store", refuse=True, cut_now=True)
             router = fleet.routers[0]
             await router.kill()
             await fleet.restart(router.name)
@@ -46,6 +46,6 @@
                 refused = await client.stream(PROMPT)
                 self.assertEqual(refused.status, 503)
                 self.assertEqual(refused.error["ran"], "no")
-                await fleet.proxy_fault("store", refuse=False)
-                await fleet.until_ready(router)
+                await fleet.set_proxy_fault("store", refuse=False)
+                await fleet.wait_until_ready(router)
                 self.assert_complete(await client.stream(PROMPT))
--- a/tests/test_processes_streams.py
+++ b/tests/test_processes_streams.py
@@ -51,7 +51,7 @@
             answer, expected = await self.stream_during(fleet, inject_fault)
             self.assert_complete(answer, expected)
 
-    async def test_connection_goes_silent_in_the_middle(self) -> None:
+    async def test_connection_stalls_mid_stream(self) -> None:
         """A device between router and engine drops its state of open connections.
 
         Neither side gets an error; without a stall timeout the caller waits forever.
@@ -60,7 +60,7 @@
         async with running_fleet(plan) as fleet:
 
             async def inject_fault(name: str) -> None:
-                await fleet.proxy_fault(name, freeze_now=True)
+                await fleet.set_proxy_fault(name, freeze_now=True)
 
             answer, expected = await self.stream_during(fleet, inject_fault)
             self.assert_complete(answer, expected)
@@ -76,7 +76,7 @@
         async with running_fleet(plan) as fleet:
 
             async def inject_fault(name: str) -> None:
-                await fleet.proxy_fault(name, cut_now=True)
+                await fleet.set_proxy_fault(name, cut_now=True)
 
             answer, expected = await self.stream_during(fleet, inject_fault)
             self.assert_complete(answer, expected)
@@ -98,7 +98,7 @@
             answer, expected = await self.stream_during(fleet, inject_fault)
             self.assert_complete(answer, expected)
 
-    async def test_engine_spoils_its_stream(self) -> None:
+    async def test_engine_corrupts_its_stream(self) -> None:
         """An engine skips or repeats a token, or closes before the end.
 
         The bytes are well formed; only event ids and the missing terminal event show
--- a/tests/test_processes_upstreams.py
+++ b/tests/test_processes_upstreams.py
@@ -13,7 +13,7 @@
 
 
 class ProcessesUpstreamsTest(FleetTestCase):
-    async def test_engine_comes_back_empty_under_its_address(self) -> None:
+    async def test_engine_restarts_empty_at_its_address(self) -> None:
         """An engine restarts at the same address before its crash is detected.
 
         Its cache is empty: state of the old incarnation must not be used for the new
