--- a/packages/corianderlb-core/src/corianderlb_core/admission.py
+++ b/packages/corianderlb-core/src/corianderlb_core/admission.py
@@ -1,8 +1,8 @@
 """Admission control for one upstream: queue requests or refuse them on arrival.
 
 A request that cannot meet its deadline is refused on arrival with a Retry-After, so
-that its caller need not wait for a timeout. The queue length is bounded, and each
-queued request is either admitted or refused at its deadline.
+that its caller need not wait for a timeout. The queue length is bounded. A queued
+request that has not been admitted by its deadline is refused.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass
 class GateCounts:
-    """Counters of a gate since the router started."""
+    """Counters of a gate since the router started; the fields name metrics."""
 
     n_admitted: int = 0
     n_queued: int = 0
@@ -81,12 +81,12 @@
         """Return the expected wait of a request of this class that arrives now."""
         if self.n_running < self.capacity and not len(self.queue):
             return 0.0
-        return self._drain_s(self.queue.n_ahead(service_class) + 1)
+        return self._time_to_free_s(self.queue.n_ahead(service_class) + 1)
 
     def offer(
         self, item: T, facts: RequestFacts, weight: float, service_s: float, now: float
     ) -> Ticket[T] | Refusal:
-        """Queue a request, or refuse it if the queue is full or its deadline too early.
+        """Queue a request, or refuse it if the queue is full or it would be late.
 
         ``service_s`` is the estimated time from admission to the first byte.
         """
@@ -94,7 +94,7 @@
         late_s = now + wait_s + service_s - facts.deadline
         if late_s > 0:
             self.counts.n_refused += 1
-            return _refuse_unreachable(late_s, wait_s)
+            return _deadline_refusal(late_s, wait_s)
         if len(self.queue) >= self.terms.max_waiting:
             self.counts.n_refused += 1
             return Refusal(
@@ -121,7 +121,7 @@
         """Remove and refuse a request whose deadline passed in the queue."""
         self.queue.remove(ticket)
         self.counts.n_expired += 1
-        return _refuse_unreachable(0.0, self.wait_s(ticket.service_class))
+        return _deadline_refusal(0.0, self.wait_s(ticket.service_class))
 
     def leave(self, ticket: Ticket[T]) -> None:
         """Remove a request whose caller disconnected."""
@@ -134,13 +134,13 @@
         if held_s is not None:
             self.hold_s += HOLD_SMOOTHING * (held_s - self.hold_s)
 
-    def _drain_s(self, n_freed: int) -> float:
+    def _time_to_free_s(self, n_freed: int) -> float:
         """Return the expected time until ``n_freed`` slots have been freed."""
         return n_freed * self.hold_s / max(1, self.capacity)
 
 
-def _refuse_unreachable(late_s: float, wait_s: float) -> Refusal:
-    """Return a refusal after whose Retry-After the deadline should be reachable."""
+def _deadline_refusal(late_s: float, wait_s: float) -> Refusal:
+    """Return a refusal with a Retry-After after which a retry should be in time."""
     return Refusal(
         ResultCode.DEADLINE_UNREACHABLE,
         f"the response would miss its deadline by {late_s:.1f} s; "
--- a/packages/corianderlb-core/src/corianderlb_core/arrival_budget.py
+++ b/packages/corianderlb-core/src/corianderlb_core/arrival_budget.py
@@ -1,7 +1,8 @@
 """Limit the retries to an upstream over all routers of a fleet.
 
-Each router limits itself to a fraction of its own requests plus an even share of the
-fixed part among the routers that were live in the window. The total stays within the
+The allowance is a fraction of the requests plus a fixed number in each window. Each
+router limits itself to that fraction of its own requests plus an even share of the
+fixed number among the routers that were live in the window. The total stays within the
 allowance without coordination, however the requests are distributed.
 """
 
@@ -12,8 +13,8 @@
 from typing import Final
 
 SAFETY_FACTOR: Final = 0.8
-"""Fraction of the allowance in use. The margin covers windows that are not aligned
-between routers and a fleet that has just grown."""
+"""Fraction of the allowance that the routers use. The rest is a margin for a fleet that
+has just grown, and for routers whose windows start at different times."""
 
 
 @dataclass(frozen=True)
@@ -21,7 +22,7 @@
     """Retry allowance of one upstream."""
 
     ratio: float = 0.2
-    """Retries for each request."""
+    """Retries allowed per request."""
     fixed: float = 50.0
     """Additional retries in each window."""
     window_s: float = 10.0
@@ -31,7 +32,7 @@
     """Sliding-window retry budget of one upstream at one router.
 
     ``started_at`` is when the router started. An earlier incarnation, or a replaced
-    router, may have spent the fixed part within the preceding window, so in its first
+    router, may have spent the fixed number within the preceding window, so in its first
     window the router uses only the margin that all routers leave. ``n_routers`` is the
     assumed size of the fleet until peers are known.
     """
@@ -55,12 +56,12 @@
 
     def take(self, now: float, n_routers: int) -> bool:
         """Take one retry from the budget; return False if none is left."""
-        if not self.has_room(now, n_routers):
+        if not self.allows_retry(now, n_routers):
             return False
         self._retries.append(now)
         return True
 
-    def has_room(self, now: float, n_routers: int) -> bool:
+    def allows_retry(self, now: float, n_routers: int) -> bool:
         """Return whether the budget allows one more retry."""
         self._trim(now)
         self._record_n_routers(now, n_routers)
--- a/packages/corianderlb-core/src/corianderlb_core/edit.py
+++ b/packages/corianderlb-core/src/corianderlb_core/edit.py
@@ -1,7 +1,7 @@
 """Edits of the catalogue, based on the version that the operator read.
 
-An accepted ``Edit`` becomes a ``Change``. Of two edits of the same version the second
-is refused with the differences of both; edits are never merged silently.
+An accepted ``Edit`` becomes a ``Change``. Of two edits based on the same version the
+second is refused with the differences of both; edits are never merged silently.
 """
 
 from __future__ import annotations
--- a/packages/corianderlb-core/src/corianderlb_core/forwarding.py
+++ b/packages/corianderlb-core/src/corianderlb_core/forwarding.py
@@ -93,7 +93,7 @@
     """Seconds to transfer one cached token over an engine's link within an availability
     zone; 0 when not configured."""
     can_copy_runs: bool = False
-    """Whether engines copy the memory of runs to each other."""
+    """Whether engines can copy the memory of runs to each other."""
 
 
 @dataclass(frozen=True)
--- a/packages/corianderlb-core/src/corianderlb_core/grant.py
+++ b/packages/corianderlb-core/src/corianderlb_core/grant.py
@@ -1,4 +1,4 @@
-"""Grant parts of an entry's limits to the routers, at the entry's primary router.
+"""Grant shares of an entry's limits to the routers, at the entry's primary router.
 
 The primary grants chunks of requests and tokens, and leases on concurrency slots. The
 other routers spend their grants locally (see ``allowance``), so that requests rarely
@@ -58,19 +58,19 @@
 class _Lease:
     """Concurrency slots that one router may still be using.
 
-    A grant that withdraws slots can be lost, and the router then uses the earlier grant
-    until it expires. So each grant counts until its own expiry, except for slots that
-    the router has returned by requesting fewer.
+    A grant of fewer slots than before can be lost, and the router then uses the earlier
+    grant until it expires. So each grant counts until its own expiry, except for slots
+    that the router has returned by requesting fewer.
     """
 
     requested: int = 0
     used: int = 0
-    """Requests running there, which continue even if their slots were reassigned."""
+    """Requests running at the router, which continue if their slots are reassigned."""
     grants: list[tuple[int, float]] = field(default_factory=list)
     """Slots and expiry of each unexpired grant."""
 
     @property
-    def n(self) -> int:
+    def n_slots(self) -> int:
         held, used = (slots for slots, _ in self.grants), self.used
         return max(used, min(self.requested, max(held, default=0)))
 
@@ -86,9 +86,9 @@
 class PrimaryLedger:
     """Grants of the limits of one entry, kept at its primary.
 
-    The sum of the leased slots never exceeds the limit, except for requests that still
-    run after their lease has expired. Chunks of requests and of tokens come from one
-    bucket each.
+    The sum of the leased slots stays within the limit, except for requests that still
+    run after their lease has expired, and until earlier grants expire after the limit
+    was lowered. Chunks of requests and of tokens come from one bucket each.
     """
 
     def __init__(self, limits: Limits, terms: GrantTerms, now: float) -> None:
@@ -97,7 +97,7 @@
         self._expiries: list[tuple[float, InstanceId]] = []
         """Heap of the grants' expiries."""
         self._n_leased = 0
-        self._n_short = 0
+        self._n_short_routers = 0
         """Routers that requested more slots than they have."""
         self.asked_at = now
         """Time of the last grant request; an idle ledger may be dropped."""
@@ -113,7 +113,7 @@
         """Return a grant for the requesting router."""
         self.asked_at = now
         self._expire(now)
-        concurrent = self._lease(req, now)
+        concurrent = self._grant_slots(req, now)
         owed = self._settle_debt(req, now)
         return Grant(
             entry=req.entry,
@@ -142,15 +142,15 @@
         if bucket is None or requested_amount <= 0:
             return 0.0
         bucket.refill(now)
-        # At most half of the level, so that the first requester does not starve the
-        # others; a single request is never split.
+        # With several routers, grant at most half of the level, so that the first
+        # requester does not starve the others, but one whole unit if there is one.
         share = bucket.level if len(self._leases) < 2 else bucket.level / 2
         return bucket.take(min(requested_amount, max(share, 1.0)), now)
 
-    def _lease(self, req: GrantRequest, now: float) -> int:
+    def _grant_slots(self, req: GrantRequest, now: float) -> int:
         lease = self._leases.setdefault(req.requester, _Lease())
         self._subtract_lease(lease)
-        n = self._n_concurrent(req)
+        n = self._slots_to_grant(req)
         lease.requested = req.concurrent
         lease.used = req.used_concurrent
         expires_at = now + self._terms.valid_s
@@ -159,13 +159,13 @@
         heapq.heappush(self._expiries, (expires_at, req.requester))
         return n
 
-    def _n_concurrent(self, req: GrantRequest) -> int:
+    def _slots_to_grant(self, req: GrantRequest) -> int:
         """Return the slots for a router whose own lease has been subtracted."""
         limit = self.limits.concurrent
         if limit is None:
             return 0
         free = limit - self._n_leased
-        if self._n_short:
+        if self._n_short_routers:
             free = min(free, max(1, limit // len(self._leases)))
         return max(0, min(req.concurrent, free))
 
@@ -184,12 +184,12 @@
 
     def _add_lease(self, lease: _Lease) -> None:
         """Update the totals, so that a grant need not iterate over all routers."""
-        self._n_leased += lease.n
-        self._n_short += lease.requested > lease.n
+        self._n_leased += lease.n_slots
+        self._n_short_routers += lease.requested > lease.n_slots
 
     def _subtract_lease(self, lease: _Lease) -> None:
-        self._n_leased -= lease.n
-        self._n_short -= lease.requested > lease.n
+        self._n_leased -= lease.n_slots
+        self._n_short_routers -= lease.requested > lease.n_slots
 
 
 def _wait_s(bucket: Bucket | None, needed: float) -> float:
--- a/packages/corianderlb-core/src/corianderlb_core/health.py
+++ b/packages/corianderlb-core/src/corianderlb_core/health.py
@@ -1,9 +1,9 @@
 """Passive health checking of one upstream instance, from the outcomes of attempts.
 
 The states are in ``charts/upstream_health.yaml``. One failure makes an instance
-suspect, and consecutive failures retire it; a crash or a response to another request
-retires it immediately. A retired instance is probed with exponential backoff, and then
-proved with limited concurrency before it takes its full share.
+suspect, and consecutive failures retire it; a crash or a response to a different
+request retires it immediately. A retired instance is probed with exponential backoff,
+and then proved with limited concurrency before it takes its full share.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class Verdict(Enum):
-    """Outcome of an attempt, as health checking distinguishes it."""
+    """Outcome of an attempt for health checking."""
 
     SUCCESS = "success"
     FAILURE = "failure"
     """The connection broke or stalled, or the upstream or the network failed."""
     CONDEMNED = "condemned"
-    """The instance crashed, or sent a response to another request."""
+    """The instance crashed, or answered with the response to a different request."""
 
 
 class InstanceHealth:
--- a/packages/corianderlb-core/src/corianderlb_core/journal.py
+++ b/packages/corianderlb-core/src/corianderlb_core/journal.py
@@ -20,7 +20,7 @@
 from .identity import AccountId, AttemptId, InstanceId
 
 KEY_BYTES: Final = 16
-"""Length of the digests in a record, enough to rule out accidental collisions."""
+"""Length of the digests in a record."""
 
 CALL_CHART: Final = "call"
 """Name of the state chart of a record."""
@@ -209,7 +209,8 @@
 def verdict_on_repeat(existing: CallRecord, digest: bytes) -> Verdict:
     """Return the verdict of an existing record on a request with that digest.
 
-    It is used before the store is read, when only final states are conclusive.
+    The record may be stale, so the caller relies on the verdict only for a finished
+    call or when the store cannot be reached.
     """
     if existing.state is CallState.NOT_RUN:
         return Verdict.RUN
--- a/packages/corianderlb-core/src/corianderlb_core/lease.py
+++ b/packages/corianderlb-core/src/corianderlb_core/lease.py
@@ -1,4 +1,4 @@
-"""Lease on sending orders to an upstream, as a record in the platform's store.
+"""Lease of the router that may send orders to an upstream, as a record in the store.
 
 The protocol does not compare the clocks of routers. The holder measures the lease from
 before it sent its last renewal; other routers measure it from when they first read the
@@ -53,7 +53,11 @@
     may restart while it waits for them."""
 
     def taken_by(self, holder: InstanceId, epoch: int, min_token: int) -> LeaseRecord:
-        """Return the record after a change of holder."""
+        """Return the record after a change of holder.
+
+        The token is at least ``min_token``, so that the caller can exceed the tokens
+        that engines have reported.
+        """
         token = max(self.token + 1, min_token)
         return dataclasses.replace(
             self, token=token, holder=holder, epoch=epoch, renewal=self.renewal + 1
@@ -89,18 +93,21 @@
     """Watch for the expiry of another router's lease, on this router's clock."""
 
     version: str = ""
-    first_seen: float = -math.inf
+    first_seen_at: float = -math.inf
 
     def see(self, version: str, now: float) -> None:
         """Record the version of the stored record."""
         if version != self.version:
             self.version = version
-            self.first_seen = now
+            self.first_seen_at = now
 
     def lease_expires_at(self, terms: OrderSettings) -> float:
         """Return when the holder must have stopped, unless it renews the lease."""
-        return self.first_seen + terms.lease_s + terms.margin_s
+        return self.first_seen_at + terms.lease_s + terms.margin_s
 
     def last_send_at(self, terms: OrderSettings) -> float:
-        """Return the latest time at which the holder can start to send an order."""
-        return self.first_seen + terms.lease_s - terms.send_s
+        """Return the latest time at which the holder starts to send an order.
+
+        Sending and the answer take up to ``send_s`` and must fit into the lease.
+        """
+        return self.first_seen_at + terms.lease_s - terms.send_s
--- a/packages/corianderlb-core/src/corianderlb_core/message.py
+++ b/packages/corianderlb-core/src/corianderlb_core/message.py
@@ -37,7 +37,7 @@
 class Hello:
     """Answer to a challenge: the sender's identity, proof and counter-challenge.
 
-    ``handshake`` documents what the proofs cover.
+    The router's module ``_handshake`` documents what the proofs cover.
     """
 
     instance: InstanceId
@@ -89,7 +89,7 @@
 class Heartbeat:
     """Liveness signal with the sender's state and updates about other members.
 
-    Sent over every link each second. To keep it short, the state of a member is
+    Sent periodically over every link. To keep it short, the state of a member is
     included only after a change, and periodically to repair lost updates.
     """
 
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True)
 class HotPrefixes:
-    """Number of instances that serve each hot prefix, packed by ``heat``."""
+    """Number of instances that serve each hot prefix, packed by ``hot_prefix``."""
 
     upstream: str
     packed: bytes
@@ -356,7 +356,8 @@
     version: int
     phase: EnginePhase = EnginePhase.SERVING
     number: int = 0
-    """Sequence number of the orders' lease holder; older announcements are dropped."""
+    """Sequence number from the holder of the order lease; older announcements are
+    dropped."""
 
 
 @dataclass(frozen=True)
--- a/packages/corianderlb-core/src/corianderlb_core/order.py
+++ b/packages/corianderlb-core/src/corianderlb_core/order.py
@@ -72,7 +72,7 @@
     name: str
     version: str
 
-    def as_order(self, order_id: str, upstream: str, version: int) -> Order:
+    def as_order(self, order_id: str, upstream: str, catalogue_version: int) -> Order:
         """Return the order that fulfils the need."""
         return Order(
             order_id,
@@ -82,7 +82,7 @@
             self.kind,
             self.name,
             self.version,
-            version,
+            catalogue_version,
         )
 
 
@@ -105,7 +105,7 @@
         """Return the slots with one more, or None if all are taken.
 
         An upstream has at most one slot, so a new lease holder replaces the slot of the
-        previous one. ``dropped`` names orders whose slots are overdue.
+        previous one. ``dropped`` has the ids of orders whose slots are overdue.
         """
         others = self.without(slot.upstream).slots
         others = tuple(held for held in others if held.order_id not in dropped)
@@ -122,15 +122,15 @@
 class SlotWatch:
     """Watch for slots that are not released, such as those of crashed routers."""
 
-    first_seen: Mapping[str, float] = field(default_factory=dict)
+    first_seen_at: Mapping[str, float] = field(default_factory=dict)
 
     def overdue(self, held: LoadSlots, timeout_s: float, now: float) -> list[str]:
-        """Return the orders whose slots were held for longer than ``timeout_s``."""
-        self.first_seen = {
-            slot.order_id: self.first_seen.get(slot.order_id, now)
+        """Return the ids of orders whose slots were held longer than ``timeout_s``."""
+        self.first_seen_at = {
+            slot.order_id: self.first_seen_at.get(slot.order_id, now)
             for slot in held.slots
         }
-        return [name for name, at in self.first_seen.items() if now - at > timeout_s]
+        return [key for key, at in self.first_seen_at.items() if now - at > timeout_s]
 
 
 def needs(
@@ -149,7 +149,7 @@
 
 
 def is_met(expected: Order, report: LoadReport) -> bool:
-    """Return whether a report shows that an order has completed."""
+    """Return whether a report shows that a load order has completed."""
     held = report.weights if expected.kind is OrderKind.LOAD_MODEL else report.adapters
     return (held or {}).get(expected.name) == expected.version
 
--- a/packages/corianderlb-core/src/corianderlb_core/quarantine.py
+++ b/packages/corianderlb-core/src/corianderlb_core/quarantine.py
@@ -2,7 +2,7 @@
 
 All requests in flight on an instance when it crashes are suspects, whichever router
 sent them. A suspect that completes is cleared. One that is in flight at a second crash
-is refused by every router from then on, whichever caller sends it.
+is refused by every router while in quarantine, whichever caller sends it.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 """Crashes after which a request is refused."""
 
 HOLD_S: Final = 3600.0
-"""How long a quarantined request is refused. It is then a suspect again, and one more
-crash puts it back in quarantine."""
+"""Default time for which a quarantined request is refused. It is then a suspect again,
+and one more crash puts it back in quarantine."""
 
 SUSPECT_TTL_S: Final = 3600.0
-"""Time without a further crash after which a request is no longer a suspect."""
+"""Time without a further crash after which a suspect need not run isolated. Its crashes
+still count towards ``CRASH_LIMIT``."""
 
 MAX_SUSPECTS: Final = 10_000
-"""Maximum size of the table; the oldest suspects are evicted first."""
+"""Maximum number of suspects, and of reports kept to recognize duplicates; the oldest
+are evicted first."""
 
 
 @dataclass(frozen=True)
@@ -36,7 +38,7 @@
     crashes: tuple[str, ...]
     """Crashes during which it was in flight, as ``instance@epoch``."""
     refused_for_s: float
-    """Seconds left in quarantine; 0 for a mere suspect."""
+    """Seconds left in quarantine; 0 if not in quarantine."""
 
 
 @dataclass
@@ -52,9 +54,10 @@
     def __init__(self, hold_s: float = HOLD_S) -> None:
         self._hold_s = hold_s
         self._suspects: dict[bytes, _Suspect] = {}
-        # A report can arrive again after its suspect was cleared. Counting it again
-        # could make the two messages circulate between the routers forever.
-        self._counted: OrderedDict[tuple[str, bytes], None] = OrderedDict()
+        # A crash report can arrive again after its suspect was cleared. If it counted
+        # again, crash reports and clearances could circulate between the routers
+        # forever.
+        self._counted_reports: OrderedDict[tuple[str, bytes], None] = OrderedDict()
 
     def record_crash(
         self, crash_id: str, digests: Sequence[bytes], at: float
@@ -92,12 +95,15 @@
         return 0.0
 
     def is_suspect(self, digest: bytes, now: float) -> bool:
-        """Return whether the request must run isolated from others."""
+        """Return whether the request is a recent suspect, which must run isolated."""
         suspect = self._suspects.get(digest)
         return suspect is not None and now - suspect.last_at < SUSPECT_TTL_S
 
     def rank(self, digest: bytes) -> int:
-        """Return the rank of a digest among all suspects, equal on all routers."""
+        """Return the rank of a digest among all suspects.
+
+        Routers that know the same suspects compute the same rank.
+        """
         return sum(1 for other in self._suspects if other < digest)
 
     def entries(self, now: float) -> tuple[QuarantineEntry, ...]:
@@ -110,11 +116,11 @@
         )
 
     def _count(self, crash_id: str, digest: bytes, at: float) -> bool:
-        if (crash_id, digest) in self._counted:
+        if (crash_id, digest) in self._counted_reports:
             return False
-        self._counted[crash_id, digest] = None
-        if len(self._counted) > MAX_SUSPECTS:
-            self._counted.popitem(last=False)
+        self._counted_reports[crash_id, digest] = None
+        if len(self._counted_reports) > MAX_SUSPECTS:
+            self._counted_reports.popitem(last=False)
         suspect = self._suspects.get(digest)
         if suspect is None:
             self._evict_oldest()
@@ -135,7 +141,7 @@
 
 
 def _may_be_same_crash(crash_id: str, other: str) -> bool:
-    """Return whether two reports can refer to the same crash.
+    """Return whether two different crash ids can refer to the same crash.
 
     A router without a report from an instance announces its crash with epoch 0, while
     others know the epoch. Counted twice, one crash would quarantine harmless requests.
--- a/packages/corianderlb-core/src/corianderlb_core/return_schedule.py
+++ b/packages/corianderlb-core/src/corianderlb_core/return_schedule.py
@@ -1,8 +1,9 @@
 """Spread the Retry-After of callers that are refused in a surge.
 
 With the same short Retry-After, refused callers return together into the same surge and
-are refused again. Each gets a separate time instead, spaced by the time that a fraction
-of the engines' prefill rate takes for their prompts.
+are refused again. Instead, each is scheduled after the previous one, with enough time
+between them to prefill the prompt at a fraction of the engines' total rate. Callers
+that would be scheduled beyond the longest Retry-After all get that one.
 """
 
 from __future__ import annotations
--- a/packages/corianderlb-core/src/corianderlb_core/service_choice.py
+++ b/packages/corianderlb-core/src/corianderlb_core/service_choice.py
@@ -13,7 +13,7 @@
 """Assumed latency of a call before the first observation."""
 
 LEARN_RATE: Final = 0.1
-"""Weight of one call in the learned latency."""
+"""Weight of one call in the moving average of the latency."""
 
 REPORT_TTL_S: Final = 0.5
 """Age at which an instance's own report of its load expires."""
@@ -25,13 +25,13 @@
 
 @dataclass
 class ServiceLoad:
-    """Load and learned latency of one incarnation of a service instance."""
+    """Load and average latency of one incarnation of a service instance."""
 
     slots: int
     n_in_flight: int = 0
     """Calls of this router in flight at the instance."""
     latency_s: float = INITIAL_LATENCY_S
-    """Learned latency of a call that does not queue."""
+    """Moving average of the latency of a call that does not queue."""
     reported_busy: int = 0
     """Running and waiting calls of all routers, as the instance last reported."""
     reported_at: float = float("-inf")
@@ -46,12 +46,15 @@
         self.n_in_flight -= 1
 
     def answered(self, seconds: float) -> None:
-        """Learn from the latency of a call that was answered."""
-        busy = max(1.0, self.n_in_flight / max(1, self.slots))
-        self.latency_s += LEARN_RATE * (seconds / busy - self.latency_s)
+        """Update the average latency from a call that was answered."""
+        load_factor = max(1.0, self.n_in_flight / max(1, self.slots))
+        self.latency_s += LEARN_RATE * (seconds / load_factor - self.latency_s)
 
     def record_report(self, n_busy: int, now: float) -> None:
-        """Record the instance's own report of its load, without the answered call."""
+        """Record the load that an instance reports in its answer to a call.
+
+        The report still counts the answered call, which is subtracted.
+        """
         self.reported_busy = max(0, n_busy - 1)
         self.reported_at = now
         self.in_flight_at_report = max(0, self.n_in_flight - 1)
@@ -60,8 +63,8 @@
         """Return the estimated time until a new call is answered."""
         n_busy = self.n_in_flight
         if now - self.reported_at < REPORT_TTL_S:
-            others = max(0, self.reported_busy - self.in_flight_at_report)
-            n_busy += others
+            n_others = max(0, self.reported_busy - self.in_flight_at_report)
+            n_busy += n_others
         n_excess = max(0, n_busy + 1 - self.slots)
         return self.latency_s * (1 + n_excess / max(1, self.slots) + 0.1 * n_busy)
 
