--- a/packages/corianderlb-router/src/corianderlb_router/_journal_shard.py
+++ b/packages/corianderlb-router/src/corianderlb_router/_journal_shard.py
@@ -1,4 +1,4 @@
-"""One shard of the journal: an actor that appends to the head in batches.
+"""One shard of the journal: an actor that writes operations to the head in batches.
 
 Operations that arrive during a write go into the next one, so the rate of writes
 depends on the latency of the store and not on the number of calls.
@@ -47,7 +47,7 @@
 
 MAX_HEAD_BYTES: Final = 512 * 1024
 """Size of a head above which no call begins. Calls in progress cannot be sealed, and
-their answers need the rest of the megabyte that the store accepts."""
+their answers must still fit into the 1 MB that the store accepts."""
 
 MAX_CONFLICT_PAUSE_S: Final = 0.05
 """Longest delay in seconds after repeated conflicts."""
@@ -55,7 +55,7 @@
 MAX_PAUSE_S: Final = 0.5
 """Longest delay in seconds before a failed call to the store is retried."""
 
-LOST_ROUTER_S: Final = 3600.0
+LOST_CALL_S: Final = 3600.0
 """Age in seconds from which a begun call counts as lost when the head is sealed."""
 
 
@@ -83,7 +83,7 @@
     n_operations: int = 0
     n_conflicts: int = 0
     n_read_backs: int = 0
-    """Reads that resolved a write without an answer."""
+    """Reads that determine whether a write without a response took effect."""
     n_failures: int = 0
 
 
@@ -206,7 +206,7 @@
         """Track calls in progress, and abandon records of calls that were refused.
 
         A write that timed out can still take effect after its call was refused as not
-        run. Without this, its record would say forever that the call may have run.
+        run. Without this, its record would keep stating that the call may have run.
         """
         now = trio.current_time()
         first_seen = {}
@@ -265,9 +265,7 @@
     async def _seal(self, draft: ShardState) -> None:
         """Move settled records into a new segment, and drop expired segments."""
         now = self._wall_clock()
-        split = split_for_seal(
-            draft.records.values(), draft.settled, now - LOST_ROUTER_S
-        )
+        split = split_for_seal(draft.records.values(), draft.settled, now - LOST_CALL_S)
         # Avoids an empty segment at every write while no record is settled.
         if not split.settled:
             await self._put_head(to_cbor(ShardHead(split.kept, self._sealed)))
@@ -275,18 +273,18 @@
         segment = Segment(split.settled)
         ref = SegmentRef(uuid.uuid4().hex, now)
         await self._objects.write_segment(ref, segment)
-        gone = expired(self._sealed, now - self._cfg.retention_s)
-        refs = tuple(r for r in self._sealed if r not in gone) + (ref,)
+        expired_refs = expired(self._sealed, now - self._cfg.retention_s)
+        refs = tuple(r for r in self._sealed if r not in expired_refs) + (ref,)
         await self._put_head(to_cbor(ShardHead(split.kept, refs)))
         draft.records = {record.key: record for record in split.kept}
-        dropped = [self._segments.pop(old.name) for old in gone]
+        dropped = [self._segments.pop(old.name) for old in expired_refs]
         self._segments[ref.name] = segment
         self._sealed = refs
         self._state.settled = {
             r.key: r for old in refs for r in self._segments[old.name].records
         }
         eliot.log_message(message_type="journal:sealed", shard=self.folder)
-        await self._objects.delete(gone, dropped)
+        await self._objects.delete(expired_refs, dropped)
 
     def _track_new_calls(self, draft: ShardState) -> None:
         now = trio.current_time()
--- a/packages/corianderlb-router/src/corianderlb_router/catalogue_reader.py
+++ b/packages/corianderlb-router/src/corianderlb_router/catalogue_reader.py
@@ -1,7 +1,7 @@
-"""Read the catalogue's log from the store, with few calls over all routers.
+"""Read the catalogue's log from the store, with few store calls across the fleet.
 
-One router of each availability zone watches the log; a waiting watch counts as a call.
-The others poll at longer intervals, in case the watchers fail or the store answers only
+One router of each availability zone watches the log; each watch is one store call. The
+others poll at longer intervals, in case the watchers fail or the store answers only
 some routers. A starting router waits for its peers first, so that many simultaneous
 starts do not cause a thundering herd of full reads.
 """
@@ -30,9 +30,9 @@
 POLL_S: Final = (6.0, 10.0)
 """Shortest and longest seconds between two polls of a router that has linked peers.
 
-The longest, plus the forwarding over a few links, stays below the 13 s in which a
-change must be in force, also when the store answers only one router, which need not be
-a watcher.
+A change must be in force on all routers within 13 s, even if the store answers only one
+router and that router is not a watcher. The longest interval leaves time to forward the
+change over a few links.
 """
 
 POLL_UNLINKED_S: Final = (1.0, 3.0)
@@ -142,13 +142,13 @@
     async def _follow(self) -> None:
         while True:
             if self._is_watcher():
-                done = await self._try(self._watch)
+                succeeded = await self._try(self._watch)
             else:
                 bounds = POLL_S if self._peers.linked() else POLL_UNLINKED_S
                 await trio.sleep(self._rng.uniform(*bounds))
-                done = await self._try(self._poll)
+                succeeded = await self._try(self._poll)
             # The connection may be dead; a poll over a new one fails or succeeds fast.
-            if not done and not await self._try(self._poll):
+            if not succeeded and not await self._try(self._poll):
                 await trio.sleep(self._rng.uniform(*POLL_UNLINKED_S))
 
     def _is_watcher(self) -> bool:
--- a/packages/corianderlb-router/src/corianderlb_router/forward_attempt.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_attempt.py
@@ -22,12 +22,12 @@
 from .run_mover import RunMover
 from .transport import EXCHANGE, FRESH, TARGET, Exchange
 
-HEDGE_SHARE: Final = 0.6
-"""Share of the objective after which a repeatable call without an answer is sent to
-another instance, so that the second run still fits into the objective."""
+RETRY_SHARE: Final = 0.6
+"""Share of the objective after which an unanswered attempt of a repeatable call is
+cancelled, so that an attempt at another instance still meets the objective."""
 
-HEDGE_LATENCY_FACTOR: Final = 4.0
-"""Least wait before that, as a multiple of the estimated latency."""
+RETRY_LATENCY_FACTOR: Final = 4.0
+"""Minimum timeout of such an attempt, as a multiple of the estimated latency."""
 
 UNRESPONSIVE_S: Final = 1.0
 """Time without data on any stream of an engine after which it counts as unresponsive.
@@ -101,14 +101,15 @@
         """Whether the instance may have begun to run the request."""
         self.sent_at: float | None = None
         """Time of sending, by the router's clock."""
-        self._began_at: float | None = None
+        self._head_received_at: float | None = None
+        """Time at which the response head arrived."""
 
     @property
     def began_ms(self) -> int | None:
         """Milliseconds from sending to the response head; None without one."""
-        if self.sent_at is None or self._began_at is None:
+        if self.sent_at is None or self._head_received_at is None:
             return None
-        return round((self._began_at - self.sent_at) * 1000)
+        return round((self._head_received_at - self.sent_at) * 1000)
 
     async def run(self, on_data: Callable[[], None]) -> None:
         """Relay the answer, or raise an ``UpstreamError``."""
@@ -126,7 +127,7 @@
         parts = self._parts
         left_s = self._deadline - trio.current_time()
         terms = self._target.terms(self._placement, left_s)
-        headers = parts.protocol.upstream_headers(self._with_resume(), terms)
+        headers = parts.protocol.upstream_headers(self._resumed_request(), terms)
         address = self._placement.instance.address
         request = httpx.Request(
             self._req.method,
@@ -151,7 +152,7 @@
             self.may_have_run = exc.sent
             raise
 
-    def _with_resume(self) -> ForwardRequest:
+    def _resumed_request(self) -> ForwardRequest:
         after = self._relay.resume_after
         if after == self._req.resume_after:
             return self._req
@@ -188,7 +189,7 @@
                     break
             nursery.cancel_scope.cancel()
         if result:
-            self._began_at = trio.current_time()
+            self._head_received_at = trio.current_time()
             return result[0]
         if errors:
             raise errors[0]
@@ -207,11 +208,11 @@
         may_repeat = self._route.is_repeatable and not self._is_last
         if not may_repeat:
             return left_s
-        hedge_s = max(
-            HEDGE_SHARE * self._route.objective_s,
-            HEDGE_LATENCY_FACTOR * self._placement.estimate_s,
+        retry_s = max(
+            RETRY_SHARE * self._route.objective_s,
+            RETRY_LATENCY_FACTOR * self._placement.estimate_s,
         )
-        return min(left_s, hedge_s)
+        return min(left_s, retry_s)
 
     def _is_unresponsive(self, incarnation_key: IncarnationKey, sent_at: float) -> bool:
         """Return whether the engine is unresponsive and the request may be resumed."""
--- a/packages/corianderlb-router/src/corianderlb_router/forward_dispatcher.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_dispatcher.py
@@ -50,7 +50,8 @@
 unresponsive. Pauses due to the prefill of long prompts are far shorter."""
 
 DEADLINE_MARGIN_S: Final = 0.02
-"""Margin before the deadline at which a request ends, for the way to the caller."""
+"""Margin before the deadline at which a request ends, so that the caller receives the
+result in time."""
 
 
 class ForwardDispatcher:
@@ -63,51 +64,53 @@
     async def handle(self, caller: ForwardCaller, scope: dict[str, Any]) -> None:
         """Handle one request; it is always answered, cut or logged as abandoned."""
         caller.stall_s = CALLER_STALL_TIMEOUT_S
-        line = _RequestLog(caller)
+        request_log = _RequestLog(caller)
         with self._exchanges.exchange(caller) as entry:
             try:
-                await self._answer(caller, scope, line)
+                await self._answer(caller, scope, request_log)
             except StreamCutError as exc:
                 # On return, the server closes the connection without the final chunk.
                 caller.result = ResultCode.STREAM_BROKEN
-                line.detail = str(exc)
+                request_log.detail = str(exc)
             except (CallerGoneError, CallerStalledError):
                 caller.result = ResultCode.CALLER_GONE
         if entry.is_cancelled and not caller.finished:
             caller.result = ResultCode.CUT_BY_SHUTDOWN
-        line.write(self._parts)
+        request_log.write(self._parts)
 
     async def _answer(
-        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLog
+        self, caller: ForwardCaller, scope: dict[str, Any], request_log: _RequestLog
     ) -> None:
+        """Process a request and answer refusals and errors."""
         try:
-            await self._handle(caller, scope, line)
+            await self._process(caller, scope, request_log)
         except (CallerGoneError, CallerStalledError):
             raise
         except RequestRefusedError as exc:
-            line.detail = exc.refusal.detail
+            request_log.detail = exc.refusal.detail
             await caller.fail(exc.refusal)
         except CorianderError as exc:
-            line.detail = str(exc)
+            request_log.detail = str(exc)
             await caller.fail(Refusal(exc.code, str(exc)))
         except Exception:
             eliot.write_traceback()
-            line.detail = "internal"
+            request_log.detail = "internal"
             await caller.fail(Refusal(ResultCode.INTERNAL, "The router failed."))
 
-    async def _handle(
-        self, caller: ForwardCaller, scope: dict[str, Any], line: _RequestLog
+    async def _process(
+        self, caller: ForwardCaller, scope: dict[str, Any], request_log: _RequestLog
     ) -> None:
+        """Match, check and run a request; raise an error if it is refused."""
         cfg = self._parts.state.configuration
         if cfg is None or not self._parts.state.is_complete:
             detail = "This router has no configuration yet."
             raise refuse(ResultCode.NOT_READY, detail, NOT_READY_RETRY_S)
         req = self._parts.protocol.read_request(scope)
-        line.req, line.cfg = req, cfg
+        request_log.req, request_log.cfg = req, cfg
         caller.request_id = RequestId(req.request_id)
         check_headers(caller, cfg.limits.max_header_bytes)
         route, account = self._admit(req, cfg)
-        line.route, line.account = route, account
+        request_log.route, request_log.account = route, account
         if route.kind is RepeatKind.STREAM and not self._exchanges.accepts_streams:
             detail = "This router is draining; a stream might not complete."
             raise refuse(ResultCode.DRAINING, detail, DRAINING_RETRY_S)
@@ -130,7 +133,7 @@
             self._parts, req, route, target, relay, caller, deadline, body, digest
         )
         run = ForwardRun(job)
-        line.run = run
+        request_log.run = run
         await self._run_until_deadline(caller, run, deadline)
 
     async def _run_until_deadline(
--- a/packages/corianderlb-router/src/corianderlb_router/forward_node.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_node.py
@@ -62,11 +62,11 @@
 two failed readiness checks, one second apart."""
 
 DRAIN_STREAMS_S: Final = 2.6
-"""How long a draining router accepts new streams: long enough for the load balancer to
-stop sending them, short enough for a stream of five seconds to complete."""
+"""How long a draining router accepts new streams. The load balancer has stopped sending
+them by then, and a later one might not complete within the grace period."""
 
 CUT_MARGIN_S: Final = 0.4
-"""Margin before the end of the grace period; open requests are then cut and logged."""
+"""Margin before the end of the grace period at which open requests are aborted."""
 
 RELEASE_TIMEOUT_S: Final = 0.2
 """Timeout for releasing the lease, which otherwise expires."""
@@ -131,7 +131,7 @@
         self._exchanges = ExchangeRegistry()
         self._stop_listening = trio.Event()
         self._terminate = trio.Event()
-        self._front = self._server(cfg.listen.front)
+        self._front_config = self._server_config(cfg.listen.front)
         self._peers = self._make_peers()
         health = HealthTable(self._rng)
         self._engines = EngineTable(ports.state, health, self._peers, self._rng)
@@ -189,7 +189,7 @@
     async def _serve_all(self, nursery: trio.Nursery) -> None:
         front_app = ForwardApp(ForwardDispatcher(self._parts, self._exchanges))
         nursery.start_soon(
-            self._serve, front_app, self._front, self._stop_listening.wait
+            self._serve, front_app, self._front_config, self._stop_listening.wait
         )
         listen = self._cfg.listen
         status_app = StatusApp(
@@ -197,11 +197,11 @@
         )
         for address in dict.fromkeys((listen.status, listen.metrics)):
             if address:
-                server = self._server(address)
+                server = self._server_config(address)
                 nursery.start_soon(self._serve, status_app, server, trio.sleep_forever)
 
     @staticmethod
-    def _server(address: str) -> hypercorn.config.Config:
+    def _server_config(address: str) -> hypercorn.config.Config:
         config = hypercorn.config.Config()
         config.bind = [address]
         config.graceful_timeout = NO_TIMEOUT_S
@@ -234,11 +234,11 @@
             cfg = self._ports.state.configuration
             if cfg is not None:
                 keep_s = KEEP_ALIVE_FACTOR * cfg.limits.idle_timeout_s
-                self._front.keep_alive_timeout = keep_s
+                self._front_config.keep_alive_timeout = keep_s
             await changed.wait()
 
     async def _keep_registered(self) -> None:
-        """Keep this router registered with the platform and follow the others."""
+        """Keep this router registered and merge the platform's instance lists."""
         listen = self._cfg.listen
         record = InstanceRecord(
             instance=InstanceId(self._cfg.forward.node),
--- a/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
@@ -1,8 +1,8 @@
-"""This router's share of the fleet-wide limits, and grants of those it is primary for.
+"""Fleet-wide limits: this router's share, and its grants to others as a primary.
 
 An actor that handles grant requests of other routers, grants from primaries, and a
 tick. The data path calls ``reserve`` and ``refund``. No state change spans a
-checkpoint, so that two requests cannot reserve the same place.
+checkpoint, so that two requests cannot reserve the same slot.
 """
 
 from __future__ import annotations
@@ -65,15 +65,15 @@
     grant_event: trio.Event
     """Set when the next grant arrives."""
     answer_s: float
-    """Seconds that the primary has for an answer."""
+    """Timeout in seconds for the primary's answer."""
     requested_at: float = float("-inf")
 
     def next_request_at(self) -> float:
         """Return the earliest time of the next grant request.
 
         Only one request is in flight at a time, since a late answer to an older one
-        grants nothing. A primary that granted less than requested is given a pause;
-        otherwise callers over their limit would flood it with requests.
+        grants nothing. The next request to a primary that granted less than requested
+        is delayed; otherwise callers over their limit would flood it with requests.
         """
         if self.allowance.answered != self.allowance.number:
             return self.requested_at + self.answer_s
@@ -83,7 +83,7 @@
 
 
 class LimitHolder(Actor):
-    """Reserves places within the limits of entries, which all routers share."""
+    """Reserves capacity within the limits of entries, which all routers share."""
 
     def __init__(
         self,
@@ -132,7 +132,7 @@
     async def reserve(
         self, entries: Sequence[Entry], tokens: int, deadline: float
     ) -> list[Allowance] | Refusal:
-        """Reserve a place within the limits of all entries, or return a refusal."""
+        """Reserve a slot and tokens at all entries, or return a refusal."""
         reserved: list[Allowance] = []
         try:
             for entry in entries:
@@ -151,7 +151,7 @@
             allowance.refund(tokens)
 
     async def on_grant_requested(self, message: GrantRequested) -> None:
-        """Grant a share, as the primary that the other router takes this one for."""
+        """Grant a share to a router that considers this one the entry's primary."""
         req = message.request
         ledger = self._ledger(req.entry)
         if ledger is not None:
@@ -192,7 +192,7 @@
     async def _reserve_one(
         self, entry: Entry, tokens: int, deadline: float
     ) -> Refusal | None:
-        """Reserve a place for an entry; if none is left, request a grant first."""
+        """Reserve a slot and tokens at one entry, requesting a grant if needed."""
         held = self._held_allowance(entry)
         allowance = held.allowance
         code = allowance.reserve(tokens, trio.current_time())
@@ -230,10 +230,10 @@
         needed = allowance.number + 1
         with trio.move_on_at(wait_until) as wait_scope:
             while allowance.answered < needed and not allowance.has_fallen_back:
-                await self._request_or_wait(held, needed)
+                await self._request_and_wait(held, needed)
         return not wait_scope.cancelled_caught
 
-    async def _request_or_wait(self, held: _HeldAllowance, needed: int) -> None:
+    async def _request_and_wait(self, held: _HeldAllowance, needed: int) -> None:
         """Request a grant unless a request is in flight, and wait for the answer."""
         self._request_grant(held)
         if held.allowance.answered < needed:
@@ -266,6 +266,7 @@
         held.grant_event = trio.Event()
 
     def _check_primary(self, held: _HeldAllowance) -> None:
+        """Fall back to the even share if the primary is unresponsive, and log it."""
         allowance = held.allowance
         before = allowance.has_fallen_back
         allowance.check_primary(self.routers(), trio.current_time())
--- a/packages/corianderlb-router/src/corianderlb_router/limiter.py
+++ b/packages/corianderlb-router/src/corianderlb_router/limiter.py
@@ -1,9 +1,8 @@
 """Admission of requests within the limits of catalogue entries and upstream capacity.
 
-``admit`` first reserves a place within the limits of all entries that a request uses,
-and then waits for a place at the gate of its upstream. A request that is refused, or
-whose caller disconnects, has left every queue and released its places by the time
-``admit`` ends.
+``admit`` first reserves a slot at all entries that a request uses, and then waits until
+the gate of its upstream admits it. A request that is refused, or whose caller
+disconnects, has left every queue and released its slots by the time ``admit`` ends.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
 
 
 class LimitedSlot(Slot):
-    """Place of an admitted request at its entries and at the gate of its upstream."""
+    """Slots of an admitted request at its entries and at the gate of its upstream."""
 
     def __init__(
         self, limiter: Limiter, facts: RequestFacts, allowances: Sequence[Allowance]
@@ -50,7 +49,7 @@
         self._released = False
 
     def release(self, used_tokens: int) -> None:
-        """Release the places and settle the tokens; further calls do nothing."""
+        """Release the slots and settle the tokens; further calls do nothing."""
         if self._released:
             return
         self._released = True
@@ -101,21 +100,21 @@
         catalogue = self._catalogue_in_force()
         entries = limited_entries(facts, catalogue)
         tokens = facts.prompt_tokens
-        held = await self.holder.reserve(entries, tokens, facts.deadline)
-        if isinstance(held, Refusal):
-            return held
+        allowances = await self.holder.reserve(entries, tokens, facts.deadline)
+        if isinstance(allowances, Refusal):
+            return allowances
         admitted = False
         try:
             refusal = await self._enter_gate(facts, catalogue)
             admitted = refusal is None
         finally:
-            # Also releases the places when the caller disconnects.
+            # Also releases the slots when the caller disconnects.
             if not admitted:
-                self.holder.refund(held, tokens)
-        return refusal or LimitedSlot(self, facts, held)
+                self.holder.refund(allowances, tokens)
+        return refusal or LimitedSlot(self, facts, allowances)
 
     def release_place(self, upstream: str, held_s: float) -> None:
-        """Release a place at an upstream's gate and admit the next request."""
+        """Release a slot at an upstream's gate and admit the next request."""
         gate = self.gates[upstream]
         gate.release(held_s)
         self._admit_queued(gate)
@@ -124,19 +123,19 @@
         """Return the usage of each active client account on this router."""
         return [
             AccountStatus(
-                account=held.entry.removeprefix(ACCOUNT_PREFIX),
-                n_running=held.n_running,
-                n_waiting=self._n_waiting(held.entry.removeprefix(ACCOUNT_PREFIX)),
-                n_refused=held.n_refused,
+                account=allowance.entry.removeprefix(ACCOUNT_PREFIX),
+                n_running=allowance.n_running,
+                n_waiting=self._n_waiting(allowance.entry.removeprefix(ACCOUNT_PREFIX)),
+                n_refused=allowance.n_refused,
             )
-            for held in self.holder.allowances
-            if held.entry.startswith(ACCOUNT_PREFIX)
+            for allowance in self.holder.allowances
+            if allowance.entry.startswith(ACCOUNT_PREFIX)
         ]
 
     async def _enter_gate(
         self, facts: RequestFacts, catalogue: Catalogue
     ) -> Refusal | None:
-        """Return None once the request has a place at the gate, or a refusal."""
+        """Return None once the gate has admitted the request, or a refusal."""
         gate = self._gate(facts.upstream, catalogue)
         account = catalogue.account(facts.account)
         ticket = gate.offer(
--- a/packages/corianderlb-router/src/corianderlb_router/order_task.py
+++ b/packages/corianderlb-router/src/corianderlb_router/order_task.py
@@ -72,7 +72,7 @@
 
 
 class OrderTask:
-    """Keep the engines of one upstream in the state that the catalogue requests."""
+    """Keeps the engines of one upstream in the state that the catalogue requests."""
 
     def __init__(self, lease: LeaseHolder, context: OrderContext) -> None:
         self._lease = lease
@@ -115,12 +115,12 @@
 
     async def _send_orders(self) -> None:
         self._has_slot = False
-        busy_until = trio.current_time() + LOAD_TIMEOUT_S
+        await_loads_until = trio.current_time() + LOAD_TIMEOUT_S
         while self._context.is_primary(self._upstream):
             engines = await self._read_engines()
             await self._lease.renew_if_due()
             is_loading = any(engine.report.loading for engine in engines)
-            if is_loading and trio.current_time() < busy_until:
+            if is_loading and trio.current_time() < await_loads_until:
                 # A load ordered earlier is still in progress. A second one would exceed
                 # the number of load slots.
                 await trio.sleep(POLL_S)
@@ -132,7 +132,7 @@
                 await trio.sleep(POLL_S)
                 continue
             await self._execute(need)
-            busy_until = trio.current_time() + LOAD_TIMEOUT_S
+            await_loads_until = trio.current_time() + LOAD_TIMEOUT_S
 
     def _choose(self, engines: list[EngineState]) -> EngineNeed | None:
         """Return the next need that can be met now, or None."""
--- a/packages/corianderlb-router/src/corianderlb_router/run_mover.py
+++ b/packages/corianderlb-router/src/corianderlb_router/run_mover.py
@@ -26,8 +26,8 @@
 """Pause after a failed copy, before another engine may have capacity."""
 
 MAX_COPIES: Final = 2
-"""Copies tried per run before it is prefilled again elsewhere: an engine that lacks the
-capacity for a copy may still admit an urgent request."""
+"""Maximum number of copies tried per run. After that the run is prefilled again
+elsewhere: an engine without capacity for a copy may still admit an urgent request."""
 
 DROP_TIMEOUT_S: Final = 0.3
 """Timeout for freeing an unused copy, which otherwise expires."""
@@ -109,7 +109,7 @@
             await trio.sleep(RETRY_S)
 
     async def _copy_run(self, fallback: Placement) -> RunMovedError | None:
-        """Copy the run's KV cache; return the error to raise, or None if it stays."""
+        """Copy the run's KV cache; return the error to raise, or None on failure."""
         instance = self._placement.instance
         started_at = trio.current_time()
         copy = await self._copier.copy(instance, self._request_id, fallback.instance)
--- a/packages/corianderlb-router/src/corianderlb_router/upstream_directory.py
+++ b/packages/corianderlb-router/src/corianderlb_router/upstream_directory.py
@@ -1,8 +1,8 @@
 """Directory of upstream instances, from the platform's list and their own reports.
 
 The list lags, and a process can restart with an empty cache under its old address. All
-state of an instance therefore belongs to one incarnation, and an incarnation that was
-seen leaving stays leaving even if an outdated list has it as live.
+state of an instance therefore belongs to one incarnation, and an incarnation that is
+known to be leaving stays so, even if an outdated list reports it as live.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass
 class _Entry:
-    """State of one listed instance."""
+    """State of one listed instance; epoch 0 until its first answer or report."""
 
     record: InstanceRecord
     load: InstanceLoad
@@ -104,7 +104,7 @@
         ]
 
     def find(self, instance: InstanceId) -> UpstreamInstance | None:
-        """Return one instance, or None when no list names it."""
+        """Return one instance, or None if the newest list lacks it."""
         entry = self._entries.get(instance)
         return self._instance_of(entry) if entry else None
 
--- a/packages/corianderlb-router/src/corianderlb_router/weights_load.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_load.py
@@ -35,8 +35,8 @@
 """
 
 ORDER_BACKOFF_S: Final = 1.5
-"""Backoff before an engine that does not respond gets another order; each try blocks a
-load slot."""
+"""Backoff before an engine that does not respond gets another order; each
+attempt occupies a load slot."""
 
 UNKNOWN_ORDER_TIMEOUT_S: Final = 0.6
 """Time for an engine to show an order whose response was lost; a later arrival is
@@ -63,7 +63,7 @@
 
 
 class WeightsLoader:
-    """Order engines to load weights while this router holds the lease."""
+    """Orders engines to load weights while this router holds the lease."""
 
     def __init__(
         self,
@@ -162,8 +162,9 @@
     async def _follow(self, engine: ForwardInstance, model: str, version: int) -> bool:
         """Poll an engine until it has the version; False if it stops responding.
 
-        An engine that crashes during a load must free its load slot before its entry
-        expires, or the other engines would keep their old weights until then.
+        An engine that crashes during a load must free its load slot before its
+        instance record expires, or the other engines would keep their old weights
+        until then.
         """
         n_unanswered = 0
         announced_at = trio.current_time()
--- a/packages/corianderlb-router/src/corianderlb_router/weights_table.py
+++ b/packages/corianderlb-router/src/corianderlb_router/weights_table.py
@@ -45,17 +45,19 @@
 
 
 def keeps_phase_start(before: EnginePhase, phase: EnginePhase) -> bool:
-    """Return whether the next phase continues the time of the one before."""
+    """Return whether a phase keeps the start time of the phase before it."""
     return before in DRAIN_PHASES and phase in DRAIN_PHASES
 
 
 @dataclass
 class _Engine:
+    """Known weights versions and phase of one engine incarnation."""
+
     versions: dict[str, int] = field(default_factory=dict)
     phase: EnginePhase = EnginePhase.SERVING
     phase_until: float = -math.inf
     phase_started_at: float = -math.inf
-    """Start of the current phase; clearing continues the time of emptying."""
+    """Start of the current phase; emptying and clearing share one start time."""
     replaced_weights: tuple[str, int] = ("", 0)
     """Model and version that the engine had when it began to load."""
     changed: trio.Event = field(default_factory=trio.Event)
@@ -72,7 +74,7 @@
         self._sequence = 0
         self._latest_sequences: dict[IncarnationKey, int] = {}
         """Sequence number of the latest announcement per incarnation. Announcements
-        arrive over several peers, so those on different engines may be reordered."""
+        arrive via several peers, so those about different engines may be reordered."""
         self._pending: list[WeightsAnnouncement] = []
         """Own announcements that have not been sent yet."""
         self._pending_event = trio.Event()
@@ -152,7 +154,7 @@
     ) -> None:
         """Merge announcements of the lease holder and forward those that are new.
 
-        Announcements on one engine apply in the order of their sequence numbers,
+        Announcements about one engine apply in the order of their sequence numbers,
         whichever path they take.
         """
         learned = [
--- a/packages/corianderlb-router/tests/test_fleet_limits.py
+++ b/packages/corianderlb-router/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the catalogue hold over four routers, whatever the network loses.
+"""Fleet-wide limits across four routers, also with lost messages and lost routers.
 
 The bounds asserted here are the tolerance that ``corianderlb_core.allowance`` states.
 """
@@ -93,7 +93,7 @@
     async def flood(
         self, per_s: float, duration_s: float, hold_s: float = 0.0
     ) -> dict[str, int]:
-        """Send requests to all routers alike; return how many each let through."""
+        """Send requests to random routers; return how many each admitted."""
         admitted = dict.fromkeys(self.limiters, 0)
 
         async def one(name: str) -> None:
@@ -121,16 +121,14 @@
         assert found is not None
         return found
 
-    async def test_home_that_answers_late(self) -> None:
-        """The home's process is busy and each answer takes a third of a second, so
-        that it always came after the next question. Callers far below every limit were
-        told that too many of their requests run."""
+    async def test_primary_that_answers_late(self) -> None:
+        """Guard against refusals below the limit while the primary answers slowly."""
         for delay_s in (0.16, 0.3, 0.7):
             with self.subTest(delay_s=delay_s):
                 self.assertEqual(await self.refused_with(delay_s), [])
 
     async def refused_with(self, delay_s: float) -> list[tuple[str, ResultCode]]:
-        """Return the refusals far below the limit with messages under way so long."""
+        """Return the refusals far below the limit at a message delay of ``delay_s``."""
         refused: list[tuple[str, ResultCode]] = []
         async with self.running(Limits(concurrent=500, requests_per_s=500.0)):
             self.hub.delay_s = delay_s
@@ -156,18 +154,14 @@
         self.assertGreaterEqual(sum(admitted.values()), 20 * 15 * 0.9)
         self.assertGreaterEqual(min(admitted.values()), 20 * 15 / 4 * 0.5)
 
-    async def test_traffic_within_the_rate_is_let_through(self) -> None:
+    async def test_traffic_within_the_rate_is_admitted(self) -> None:
         async with self.running(Limits(requests_per_s=20.0)):
             admitted = await self.flood(per_s=10.0, duration_s=15.0)
             refused = [one.accounts()[0].n_refused for one in self.limiters.values()]
         self.assertLessEqual(sum(refused), sum(admitted.values()) * 0.02)
 
     async def test_rate_holds_while_messages_are_lost(self) -> None:
-        """A third of the messages between routers is lost, for a while.
-
-        If each router then took the whole limit for itself, a large account would get
-        four times what it pays for, at the others' cost.
-        """
+        """Guard against each router using the whole limit while messages are lost."""
         async with self.running(Limits(requests_per_s=20.0)):
             self.hub.loss = 0.3
             admitted = await self.flood(per_s=80.0, duration_s=15.0)
@@ -176,10 +170,7 @@
         self.assertGreaterEqual(sum(admitted.values()), 20 * 15 * 0.5)
 
     async def test_rate_holds_when_one_router_is_cut_off(self) -> None:
-        """One router loses the way to the others, and callers still reach it.
-
-        It must go on serving its share, and the fleet must stay within the tolerance.
-        """
+        """A router without peers serves its share; the fleet stays within tolerance."""
         async with self.running(Limits(requests_per_s=20.0)):
             cut = next(name for name in ROUTERS if name != self.primary_node())
             self.hub.cut.add(cut)
@@ -187,27 +178,23 @@
         self.assertGreaterEqual(admitted[cut], 20 * 15 / 4 * 0.8)
         self.assertLessEqual(sum(admitted.values()), 20 * 15 * 1.25 + 40 + 4)
 
-    async def test_home_dies(self) -> None:
+    async def test_primary_fails(self) -> None:
         async with self.running(Limits(requests_per_s=20.0)):
             await self.flood(per_s=80.0, duration_s=5.0)
             gone = self.primary_node()
             self.limiters.pop(gone)
             self.hub.cut.add(gone)
-            silent = await self.flood(per_s=80.0, duration_s=5.0)
+            during_outage = await self.flood(per_s=80.0, duration_s=5.0)
             self.hub.dead.add(gone)
             after = await self.flood(per_s=80.0, duration_s=10.0)
-        # Three shares of four while it is silent, and all once it is out of the list.
-        self.assertLessEqual(sum(silent.values()), 20 * 5 + 20 + 4)
-        self.assertGreaterEqual(sum(silent.values()), 20 * 5 * 0.5)
+        # Three of four shares while it is unresponsive, and all once it is not listed.
+        self.assertLessEqual(sum(during_outage.values()), 20 * 5 + 20 + 4)
+        self.assertGreaterEqual(sum(during_outage.values()), 20 * 5 * 0.5)
         self.assertLessEqual(sum(after.values()), 20 * 10 + 2 * 20 + 4)
         self.assertGreaterEqual(sum(after.values()), 20 * 10 * 0.8)
 
     async def test_running_requests_over_all_routers(self) -> None:
-        """Messages that take places away from a router get lost.
-
-        It goes on with the places it had, so the home must not hand them out again
-        before they lapse.
-        """
+        """Guard against the primary granting slots again before their grant expires."""
         for loss in (0.0, 0.3):
             with self.subTest(loss=loss):
                 async with self.running(Limits(concurrent=20)):
@@ -245,46 +232,43 @@
             self.assertIsInstance(await self.admit("r1", prompt_tokens=100), Slot)
 
     async def test_many_requests_at_once_within_the_limits(self) -> None:
-        """Twenty tablets ask at the same moment, far below their account's limits.
-
-        Each of them has to be let through, though the router holds nothing of the
-        limits yet and they share the answers of the home.
-        """
-        for away in (True, False):
+        """Guard against refusals of a burst that arrives before the first grant."""
+        for is_remote in (True, False):
             async with self.running(Limits(requests_per_s=500.0, concurrent=200)):
-                name = next(n for n in ROUTERS if (n != self.primary_node()) is away)
+                name = next(
+                    n for n in ROUTERS if (n != self.primary_node()) is is_remote
+                )
                 outcomes: list[Slot | Refusal] = []
 
-                async def ask(name: str, outcomes: list[Slot | Refusal]) -> None:
+                async def send_request(
+                    name: str, outcomes: list[Slot | Refusal]
+                ) -> None:
                     outcomes.append(await self.admit(name))
 
                 async with trio.open_nursery() as nursery:
                     for _ in range(20):
-                        nursery.start_soon(ask, name, outcomes)
+                        nursery.start_soon(send_request, name, outcomes)
                 refused = [one for one in outcomes if isinstance(one, Refusal)]
                 self.assertEqual(refused, [])
 
     async def test_calls_without_tokens_beside_a_token_limit(self) -> None:
-        """An account with a limit of tokens calls a plain service, which uses none.
-
-        Refused for having no tokens, it could never sign a batch off.
-        """
+        """Guard against a token limit refusing requests that use no tokens."""
         async with self.running(Limits(tokens_per_s=1000.0)):
             for _ in range(20):
                 slot = await self.admit("r1", prompt_tokens=0)
                 assert isinstance(slot, Slot)
                 slot.release(0)
 
-    async def test_home_is_left_alone_by_callers_over_their_limit(self) -> None:
+    async def test_requests_over_the_limit_do_not_flood_the_primary(self) -> None:
         async with self.running(Limits(requests_per_s=1.0)):
-            away = next(name for name in ROUTERS if name != self.primary_node())
-            await self.admit(away)
+            remote = next(name for name in ROUTERS if name != self.primary_node())
+            await self.admit(remote)
             before = self.hub.n_messages
             async with trio.open_nursery() as nursery:
                 for _ in range(200):
-                    nursery.start_soon(self.admit, away)
+                    nursery.start_soon(self.admit, remote)
                     await trio.sleep(0.005)
-            # A question and an answer every 50 ms, and not for every caller.
+            # One request and one grant every 50 ms, not one pair for each caller.
             self.assertLess(self.hub.n_messages - before, 50)
 
     async def test_two_places_for_two_routers(self) -> None:
@@ -297,12 +281,8 @@
             self.assertEqual(refusal.code, ResultCode.TOO_MANY_CONCURRENT)
             self.assertGreater(refusal.retry_after_s, 0)
 
-    async def test_caller_hangs_up_in_the_queue(self) -> None:
-        """A caller hangs up while it waits for its turn.
-
-        Its place in the queue and in the limits is free at once; else an account whose
-        callers time out would lock itself out.
-        """
+    async def test_caller_disconnects_in_the_queue(self) -> None:
+        """Guard against a disconnected caller keeping its queue place or its slot."""
         cfg = {"concurrent_per_instance": 1}
         async with self.running(Limits(concurrent=2), 1, ("r1",), **cfg):
             slot = await self.admit("r1")
@@ -330,10 +310,9 @@
             self.assertEqual(gate.n_running, 0)
 
     async def test_engines_have_too_much_queued_for_a_deadline(self) -> None:
-        """Every engine reports more queued prefill than a request has time for.
+        """A request that cannot meet its deadline is refused, unless it is urgent.
 
-        Sent there, it would use an engine for an answer that nobody waits for any
-        more; an urgent one goes before the queue and is let through.
+        Urgent requests skip the engines' queues.
         """
         directory = a_directory(2)
         for engine in directory.instances("yard-app"):
@@ -355,14 +334,11 @@
             urgent = some_facts(deadline=deadline, service_class=ServiceClass.URGENT)
             self.assertIsInstance(await limiter.admit(urgent), Slot)
 
-    async def test_small_account_gets_its_turn(self) -> None:
-        """A large account floods one upstream while a foreman asks for a kiln's state.
-
-        The foreman's request has to be among the next, not behind hundreds.
-        """
+    async def test_small_account_is_not_delayed_by_a_large_one(self) -> None:
+        """Guard against a large account's queue delaying other accounts."""
         order: list[str] = []
 
-        async def ask(account: str, service_class: ServiceClass) -> None:
+        async def send_request(account: str, service_class: ServiceClass) -> None:
             slot = await self.admit(
                 "r1", account=AccountId(account), service_class=service_class
             )
@@ -375,7 +351,9 @@
         async with self.running(Limits(), 1, ("r1",), **cfg):
             async with trio.open_nursery() as nursery:
                 for _ in range(50):
-                    nursery.start_soon(ask, "northwest-charcoal", ServiceClass.STANDARD)
+                    nursery.start_soon(
+                        send_request, "northwest-charcoal", ServiceClass.STANDARD
+                    )
                 await trio.sleep(0.01)
-                nursery.start_soon(ask, "small-shop", ServiceClass.STANDARD)
+                nursery.start_soon(send_request, "small-shop", ServiceClass.STANDARD)
         self.assertLess(order.index("small-shop"), 4)
--- a/packages/corianderlb-router/tests/test_load_sharing.py
+++ b/packages/corianderlb-router/tests/test_load_sharing.py
@@ -63,7 +63,7 @@
         self.reports = {}
         self.n_requests = Counter()
 
-    async def get(self, address, path, patience):
+    async def get(self, address, path, timeouts):
         self.n_requests[address] += 1
         if address not in self.reports:
             raise httpx.ConnectError("down")
@@ -158,10 +158,7 @@
             self.assertAlmostEqual(report.queued_prefill_s, 0.7, delta=0.03)
 
     async def test_forwarded_reports_keep_their_age(self):
-        """Routers keep forwarding the last load of an unresponsive engine.
-
-        If its age could shrink on the way, the load would never become stale.
-        """
+        """Guard against forwarding making the load of an unresponsive engine newer."""
         for n_instances in (5, 150):
             fleet = Fleet(3, n_instances)
             for name in fleet.names:
@@ -176,10 +173,7 @@
                 await trio.sleep(0.47)
 
     async def test_load_of_another_incarnation_is_ignored(self):
-        """A vector from before an engine's restart arrives after its new epoch.
-
-        Applied to the new incarnation, the old queue would keep requests away from it.
-        """
+        """Guard against a load vector from before a restart being applied after it."""
         fleet = Fleet(2, 1)
         router = fleet.routers[0]
         router.directory.observe_epoch("e000", 5)
@@ -189,7 +183,7 @@
         self.assertIsNone(router.report("e000"))
 
     async def test_vector_over_another_list_is_ignored(self):
-        """Entries of a vector would be applied to the wrong instances."""
+        """Guard against a vector's entries being applied to the wrong instances."""
         fleet = Fleet(2, 3)
         fleet.names[0] = "e009"
         fleet.list_instances(fleet.routers[0], 2)
@@ -211,10 +205,7 @@
             self.assertEqual(router.directory.find("e001").epoch, 2)
 
     async def test_leaving_instance_is_unusable_on_all_routers(self):
-        """An engine reports that it is leaving while the list still has it as live.
-
-        Requests sent there would be aborted when it stops.
-        """
+        """Guard against requests to a leaving engine that is still listed as live."""
         fleet = Fleet(3, 4)
         for name in fleet.names:
             fleet.client.reports[name] = LoadReport(2)
--- a/packages/corianderlb-router/tests/test_weights_controller.py
+++ b/packages/corianderlb-router/tests/test_weights_controller.py
@@ -205,7 +205,7 @@
             nursery.cancel_scope.cancel()
 
     async def test_engine_that_dies_during_a_load_frees_its_slot(self) -> None:
-        # The remaining engines must not wait until the entries of the dead ones expire.
+        # The other engines must not wait until the dead ones' instance records expire.
         async with trio.open_nursery() as nursery:
             (router,) = self.start(nursery)
             await trio.sleep(1)
@@ -383,15 +383,15 @@
                 "r1", FakeStore(), hub, FakeEngines(nursery, "e1", "e2")
             )
             e1 = router.state.instance("e1")
-            words = [
+            announcements = [
                 WeightsAnnouncement("e1", 1, MODEL, 1, EnginePhase.LOADING, 10),
                 WeightsAnnouncement("e2", 1, MODEL, 2, EnginePhase.SERVING, 12),
                 WeightsAnnouncement("e1", 1, MODEL, 2, EnginePhase.SERVING, 11),
                 WeightsAnnouncement("e1", 1, MODEL, 1, EnginePhase.LOADING, 10),
             ]
-            for word in words:
-                news = WeightsUpdate((word,))
-                await router.table.weights.on_weights_update(InstanceId("r9"), news)
+            for announcement in announcements:
+                update = WeightsUpdate((announcement,))
+                await router.table.weights.on_weights_update(InstanceId("r9"), update)
             self.assertIs(router.table.weights.phase(e1), EnginePhase.SERVING)
             self.assertEqual(router.table.view(e1, MODEL).weights_version, 2)
 
@@ -420,9 +420,11 @@
         async with trio.open_nursery() as nursery:
             hub = FakeHub(nursery)
             router = RouterHarness("r1", FakeStore(), hub, FakeEngines(nursery, "e1"))
-            word = WeightsAnnouncement("e1", 1, MODEL, 1, EnginePhase.LOADING, 10)
-            news = WeightsUpdate((word,))
-            await router.table.weights.on_weights_update(InstanceId("r9"), news)
+            announcement = WeightsAnnouncement(
+                "e1", 1, MODEL, 1, EnginePhase.LOADING, 10
+            )
+            update = WeightsUpdate((announcement,))
+            await router.table.weights.on_weights_update(InstanceId("r9"), update)
             e1 = router.state.instance("e1")
             self.assertIs(router.table.weights.phase(e1), EnginePhase.LOADING)
             router.list_engine("e1", 2)
