--- a/packages/corianderlb-core/src/corianderlb_core/arrival_budget.py
+++ b/packages/corianderlb-core/src/corianderlb_core/fleet_retry_budget.py
@@ -28,7 +28,7 @@
     window_s: float = 10.0
 
 
-class ArrivalBudget:
+class FleetRetryBudget:
     """Sliding-window retry budget of one upstream at one router.
 
     ``started_at`` is when the router started. An earlier incarnation, or a replaced
--- a/packages/corianderlb-core/src/corianderlb_core/forwarding.py
+++ b/packages/corianderlb-core/src/corianderlb_core/forwarding.py
@@ -15,7 +15,7 @@
 
 from .rendezvous import rank
 
-MIN_PRIORITY: Final = 9
+LOWEST_PRIORITY: Final = 9
 """The least urgent priority; 0 is the most urgent."""
 
 
@@ -54,7 +54,7 @@
     shares: tuple[UpstreamShare, ...]
     max_attempts: int = 1
     """Maximum number of upstream instances that may run one request."""
-    priority: int = MIN_PRIORITY
+    priority: int = LOWEST_PRIORITY
     """0 is the most urgent."""
     is_public: bool = False
     """True when no API key is required."""
--- a/packages/corianderlb-core/src/corianderlb_core/grant.py
+++ b/packages/corianderlb-core/src/corianderlb_core/grant.py
@@ -99,7 +99,7 @@
         self._n_leased = 0
         self._n_short_routers = 0
         """Routers that requested more slots than they have."""
-        self.asked_at = now
+        self.last_request_at = now
         """Time of the last grant request; an idle ledger may be dropped."""
         self.set_limits(limits, now)
 
@@ -111,7 +111,7 @@
 
     def grant(self, req: GrantRequest, now: float) -> Grant:
         """Return a grant for the requesting router."""
-        self.asked_at = now
+        self.last_request_at = now
         self._expire(now)
         concurrent = self._grant_slots(req, now)
         owed = self._settle_debt(req, now)
--- a/packages/corianderlb-core/src/corianderlb_core/health.py
+++ b/packages/corianderlb-core/src/corianderlb_core/health.py
@@ -60,7 +60,7 @@
         """Whether the instance gets no requests."""
         return self._cycle.state == "retired"
 
-    def has_room(self, n_in_flight: int) -> bool:
+    def has_capacity(self, n_in_flight: int) -> bool:
         """Return whether the health state allows one more concurrent request."""
         return self.state != "proving" or n_in_flight < MAX_PROVING_REQUESTS
 
--- a/packages/corianderlb-core/src/corianderlb_core/named_versions.py
+++ b/packages/corianderlb-core/src/corianderlb_core/published_versions.py
@@ -6,8 +6,8 @@
 that started later or lost its connection knows only when it last read that there was no
 newer version, and learns the age of the publication from peers that observed it.
 
-For example, after ``record_naming(Naming(3, 10.0, after=2))`` version 2 was replaced at
-10.0, version 1 at an unknown time, and version 3 is the newest.
+For example, after ``record_publication(PublishedVersion(3, 10.0, after=2))`` version 2
+was replaced at 10.0, version 1 at an unknown time, and version 3 is the newest.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-MAX_NAMINGS: Final = 32
+MAX_PUBLISHED_VERSIONS: Final = 32
 """Maximum number of publications kept for a model."""
 
 
 @dataclass(frozen=True)
-class Naming:
+class PublishedVersion:
     """Publication of a weights version, with its time on this router's clock."""
 
     version: int
@@ -34,32 +34,36 @@
     at which ``after`` can have been replaced."""
 
 
-class NamedVersions:
+class PublishedVersions:
     """Publications of the weights versions of one model."""
 
     def __init__(self) -> None:
-        self._namings: list[Naming] = []
+        self._published_versions: list[PublishedVersion] = []
         """Sorted by version."""
 
     @property
     def newest(self) -> int:
         """The newest version; 0 if none is known."""
-        return self._namings[-1].version if self._namings else 0
+        return self._published_versions[-1].version if self._published_versions else 0
 
-    def record_naming(self, naming: Naming) -> bool:
+    def record_publication(self, published_version: PublishedVersion) -> bool:
         """Record a publication; return whether the history changed.
 
         Of two exact times the earlier one is kept, since announcements arrive late.
         """
-        index = bisect_right(self._namings, naming.version, key=_version)
-        known = self._namings[index - 1] if index else None
-        if known is None or known.version != naming.version:
-            self._namings.insert(index, naming)
-            del self._namings[:-MAX_NAMINGS]
+        index = bisect_right(
+            self._published_versions, published_version.version, key=_version
+        )
+        known = self._published_versions[index - 1] if index else None
+        if known is None or known.version != published_version.version:
+            self._published_versions.insert(index, published_version)
+            del self._published_versions[:-MAX_PUBLISHED_VERSIONS]
             return True
-        is_better = naming.is_exact and (not known.is_exact or naming.at < known.at)
+        is_better = published_version.is_exact and (
+            not known.is_exact or published_version.at < known.at
+        )
         if is_better:
-            self._namings[index - 1] = naming
+            self._published_versions[index - 1] = published_version
         return is_better
 
     def replaced_at(self, version: int) -> float:
@@ -69,24 +73,28 @@
         time: when ``version`` itself was published, or minus infinity if that is
         unknown.
         """
-        index = bisect_right(self._namings, version, key=_version)
-        if index == len(self._namings):
+        index = bisect_right(self._published_versions, version, key=_version)
+        if index == len(self._published_versions):
             return math.inf
-        newer = self._namings[index]
+        newer = self._published_versions[index]
         if newer.after <= version:
             return newer.at
-        own = self._namings[index - 1] if index else None
+        own = self._published_versions[index - 1] if index else None
         return own.at if own is not None and own.version == version else -math.inf
 
-    def exact(self, since: float) -> list[Naming]:
+    def exact(self, since: float) -> list[PublishedVersion]:
         """Return the publications after ``since`` that a router observed."""
-        return [known for known in self._namings if known.is_exact and known.at > since]
+        return [
+            known
+            for known in self._published_versions
+            if known.is_exact and known.at > since
+        ]
 
     @property
     def is_newest_exact(self) -> bool:
         """Whether a router observed the publication of the newest version."""
-        return bool(self._namings) and self._namings[-1].is_exact
+        return bool(self._published_versions) and self._published_versions[-1].is_exact
 
 
-def _version(naming: Naming) -> int:
-    return naming.version
+def _version(published_version: PublishedVersion) -> int:
+    return published_version.version
--- a/packages/corianderlb-core/src/corianderlb_core/quarantine.py
+++ b/packages/corianderlb-core/src/corianderlb_core/quarantine.py
@@ -16,7 +16,7 @@
 CRASH_LIMIT: Final = 2
 """Crashes after which a request is refused."""
 
-HOLD_S: Final = 3600.0
+DEFAULT_QUARANTINE_S: Final = 3600.0
 """Default time for which a quarantined request is refused. It is then a suspect again,
 and one more crash puts it back in quarantine."""
 
@@ -51,7 +51,7 @@
 class SuspectTable:
     """Crash counts by body digest; does no I/O."""
 
-    def __init__(self, hold_s: float = HOLD_S) -> None:
+    def __init__(self, hold_s: float = DEFAULT_QUARANTINE_S) -> None:
         self._hold_s = hold_s
         self._suspects: dict[bytes, _Suspect] = {}
         # A crash report can arrive again after its suspect was cleared. If it counted
--- a/packages/corianderlb-core/tests/test_forwarding.py
+++ b/packages/corianderlb-core/tests/test_forwarding.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from corianderlb_core.arrival_budget import ArrivalBudget, BudgetTerms
+from corianderlb_core.fleet_retry_budget import BudgetTerms, FleetRetryBudget
 from corianderlb_core.forwarding import (
     ForwardAccount,
     ForwardConfiguration,
@@ -90,7 +90,7 @@
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
         n_routers, n_requests, n_repeats = 4, 0, 0
         for router in range(n_routers):
-            budget = ArrivalBudget(terms, started_at=-60.0)
+            budget = FleetRetryBudget(terms, started_at=-60.0)
             for n in range(100 * router):
                 budget.record_request(n * 0.01, n_routers)
                 n_requests += 1
@@ -99,7 +99,7 @@
         self.assertGreater(n_repeats, 0.7 * (0.2 * n_requests + 50))
 
     @staticmethod
-    def spend(budget: ArrivalBudget, now: float, n_routers: int) -> int:
+    def spend(budget: FleetRetryBudget, now: float, n_routers: int) -> int:
         """Take all there is; return the number of retries."""
         return sum(budget.take(now, n_routers) for _ in range(1000))
 
@@ -108,19 +108,19 @@
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
         n_repeats = 0
         for _ in range(4):
-            n_repeats += self.spend(ArrivalBudget(terms, started_at=-60.0), 0.0, 4)
+            n_repeats += self.spend(FleetRetryBudget(terms, started_at=-60.0), 0.0, 4)
             # Right after its start a router knows no other.
-            restarted = ArrivalBudget(terms, started_at=2.0, n_routers=4)
+            restarted = FleetRetryBudget(terms, started_at=2.0, n_routers=4)
             n_repeats += self.spend(restarted, 3.0, 1) + self.spend(restarted, 9.0, 4)
         self.assertLessEqual(n_repeats, 50)
-        restarted = ArrivalBudget(terms, started_at=2.0, n_routers=4)
+        restarted = FleetRetryBudget(terms, started_at=2.0, n_routers=4)
         self.assertGreater(self.spend(restarted, 3.0, 4), 0)
         self.assertEqual(self.spend(restarted, 13.1, 4), 10)
 
     def test_budget_of_lost_routers_stays_spent(self) -> None:
         """Guard against routers spending again what lost routers have spent."""
         terms = BudgetTerms(ratio=0.2, fixed=50.0, window_s=10.0)
-        budgets = [ArrivalBudget(terms, started_at=-60.0) for _ in range(4)]
+        budgets = [FleetRetryBudget(terms, started_at=-60.0) for _ in range(4)]
         n_repeats = sum(self.spend(budget, 0.0, 4) for budget in budgets[:3])
         budgets[3].record_request(0.0, 4)
         n_repeats += self.spend(budgets[3], 4.0, 1)
@@ -129,7 +129,7 @@
 
     def test_window_slides(self) -> None:
         terms = BudgetTerms(ratio=0.0, fixed=2.0, window_s=10.0)
-        budget = ArrivalBudget(terms, started_at=-60.0)
+        budget = FleetRetryBudget(terms, started_at=-60.0)
         self.assertTrue(budget.take(0.0, 1))
         self.assertFalse(budget.take(5.0, 1))
         self.assertTrue(budget.take(10.1, 1))
--- a/packages/corianderlb-core/tests/test_quarantine.py
+++ b/packages/corianderlb-core/tests/test_quarantine.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from corianderlb_core.quarantine import HOLD_S, MAX_SUSPECTS, SuspectTable
+from corianderlb_core.quarantine import DEFAULT_QUARANTINE_S, MAX_SUSPECTS, SuspectTable
 
 
 class SuspectTableTest(unittest.TestCase):
@@ -13,7 +13,7 @@
         self.assertEqual(table.refused_for(b"a", 0.0), 0.0)
         self.assertTrue(table.is_suspect(b"a", 0.0))
         table.record_crash("e1@1", [b"a"], 0.0)
-        self.assertEqual(table.refused_for(b"a", 0.0), HOLD_S)
+        self.assertEqual(table.refused_for(b"a", 0.0), DEFAULT_QUARANTINE_S)
 
     def test_crash_reported_with_and_without_epoch_counts_once(self) -> None:
         """Guards against a quarantine of harmless requests after a single crash."""
@@ -34,10 +34,10 @@
         table = SuspectTable()
         table.record_crash("e0@1", [b"a"], 0.0)
         table.record_crash("e1@1", [b"a"], 0.0)
-        self.assertEqual(table.refused_for(b"a", HOLD_S + 1), 0.0)
-        self.assertTrue(table.is_suspect(b"a", HOLD_S + 1))
-        table.record_crash("e2@1", [b"a"], HOLD_S + 2)
-        self.assertGreater(table.refused_for(b"a", HOLD_S + 2), 0.0)
+        self.assertEqual(table.refused_for(b"a", DEFAULT_QUARANTINE_S + 1), 0.0)
+        self.assertTrue(table.is_suspect(b"a", DEFAULT_QUARANTINE_S + 1))
+        table.record_crash("e2@1", [b"a"], DEFAULT_QUARANTINE_S + 2)
+        self.assertGreater(table.refused_for(b"a", DEFAULT_QUARANTINE_S + 2), 0.0)
 
     def test_late_report_does_not_restore_a_cleared_suspect(self) -> None:
         """Guards against reports that circulate between the routers forever."""
--- a/packages/corianderlb-router/src/corianderlb_router/attempt.py
+++ b/packages/corianderlb-router/src/corianderlb_router/attempt.py
@@ -292,7 +292,7 @@
             n_in_flight = self._parts.in_flight.n_on(instance)
             if self._parts.in_flight.is_reserved(instance):
                 continue
-            if self._parts.health.has_room(instance, n_in_flight):
+            if self._parts.health.has_capacity(instance, n_in_flight):
                 return candidate
         return decision.candidates[0]
 
--- a/packages/corianderlb-router/src/corianderlb_router/fleet_quarantine.py
+++ b/packages/corianderlb-router/src/corianderlb_router/fleet_quarantine.py
@@ -10,7 +10,7 @@
 
 from corianderlb_core.identity import Incarnation, InstanceId, RequestId
 from corianderlb_core.message import CrashReport, SuspectCleared
-from corianderlb_core.quarantine import HOLD_S, SuspectTable
+from corianderlb_core.quarantine import DEFAULT_QUARANTINE_S, SuspectTable
 from corianderlb_core.request import Refusal, RequestFacts
 from corianderlb_core.result import ResultCode
 from corianderlb_core.status import QuarantineStatus
@@ -24,7 +24,9 @@
 class FleetQuarantine(Quarantine):
     """Suspect requests of the fleet, from local crash reports and those of peers."""
 
-    def __init__(self, peers: PeerNetwork, hold_s: float = HOLD_S) -> None:
+    def __init__(
+        self, peers: PeerNetwork, hold_s: float = DEFAULT_QUARANTINE_S
+    ) -> None:
         self._peers = peers
         self._table = SuspectTable(hold_s)
         self.n_crashes = 0
--- a/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_parts.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from corianderlb_core.arrival_budget import ArrivalBudget, BudgetTerms
+from corianderlb_core.fleet_retry_budget import BudgetTerms, FleetRetryBudget
 from corianderlb_core.identity import Presence
 from corianderlb_core.part_index import IncarnationKey
 from corianderlb_core.return_schedule import ReturnSchedule
@@ -64,7 +64,7 @@
     copier: MemoryCopier | None = None
     """Copies runs between engines; None if the engines do not support it."""
     services: dict[IncarnationKey, ServiceLoad] = field(default_factory=dict)
-    budgets: dict[str, ArrivalBudget] = field(default_factory=dict)
+    budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     return_schedules: dict[str, ReturnSchedule] = field(default_factory=dict)
     """Schedules of the retries of refused callers, by upstream."""
 
@@ -74,11 +74,11 @@
         members = self.peers.members()
         return max(1, sum(state.presence is Presence.LIVE for state in members))
 
-    def budget(self, upstream: str) -> ArrivalBudget:
+    def budget(self, upstream: str) -> FleetRetryBudget:
         """Return the retry budget of an upstream."""
         found = self.budgets.get(upstream)
         if found is None:
-            found = ArrivalBudget(
+            found = FleetRetryBudget(
                 self.cfg.budget, self.started_at, self.n_routers_at_start
             )
             self.budgets[upstream] = found
--- a/packages/corianderlb-router/src/corianderlb_router/forward_target.py
+++ b/packages/corianderlb-router/src/corianderlb_router/forward_target.py
@@ -18,7 +18,7 @@
     allowed_or_all,
 )
 from corianderlb_core.forwarding import (
-    MIN_PRIORITY,
+    LOWEST_PRIORITY,
     ForwardAccount,
     ForwardInstance,
     ForwardRoute,
@@ -303,7 +303,7 @@
             fetch_from="" if placement.continue_from else choice.fetch_from,
             save_to=placement.save_to,
             continue_from=placement.continue_from,
-            priority=min(MIN_PRIORITY, priority),
+            priority=min(LOWEST_PRIORITY, priority),
         )
 
     def sent(self, key: str, placement: Placement) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/health_table.py
+++ b/packages/corianderlb-router/src/corianderlb_router/health_table.py
@@ -50,7 +50,7 @@
         if health.is_retired and health.is_probe_due(now):
             health.record_probe(True, now, self._rng)
             self._log(incarnation, entry)
-        return not health.is_retired and health.has_room(entry.n_in_flight)
+        return not health.is_retired and health.has_capacity(entry.n_in_flight)
 
     def failure_rate(self, incarnation: IncarnationKey) -> float:
         """Return the moving average of failed attempts, from 0 to 1."""
--- a/packages/corianderlb-router/src/corianderlb_router/health_tracker.py
+++ b/packages/corianderlb-router/src/corianderlb_router/health_tracker.py
@@ -46,10 +46,10 @@
         known = self._health.get(instance)
         return known[1].state if known else "healthy"
 
-    def has_room(self, instance: InstanceId, n_in_flight: int) -> bool:
+    def has_capacity(self, instance: InstanceId, n_in_flight: int) -> bool:
         """Return whether an instance's health allows one more request."""
         known = self._health.get(instance)
-        return known is None or known[1].has_room(n_in_flight)
+        return known is None or known[1].has_capacity(n_in_flight)
 
     def succeeded(self, incarnation: Incarnation) -> None:
         """Record a successful attempt."""
--- a/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
+++ b/packages/corianderlb-router/src/corianderlb_router/limit_holder.py
@@ -175,7 +175,7 @@
                 self._request_grant(held)
             self._check_primary(held)
         for name, ledger in list(self._ledgers.items()):
-            if now - ledger.asked_at > IDLE_TIMEOUT_S:
+            if now - ledger.last_request_at > IDLE_TIMEOUT_S:
                 del self._ledgers[name]
 
     async def _post_ticks(self) -> None:
--- a/packages/corianderlb-router/src/corianderlb_router/peer_network.py
+++ b/packages/corianderlb-router/src/corianderlb_router/peer_network.py
@@ -32,7 +32,7 @@
     encode,
 )
 from corianderlb_core.overlay import choose_links
-from corianderlb_core.quarantine import HOLD_S
+from corianderlb_core.quarantine import DEFAULT_QUARANTINE_S
 from corianderlb_core.settings import PeerSettings
 
 from ._handshake import AuthenticatedLink, PeerIdentity, accept, initiate
@@ -59,7 +59,7 @@
 MAX_REPLAYED: Final = 128
 """Maximum number of broadcasts stored for replay."""
 
-REPLAY_S: Final = HOLD_S
+REPLAY_S: Final = DEFAULT_QUARANTINE_S
 """How long broadcasts are replayed: as long as a quarantine, so that a starting router
 refuses the same requests as the others."""
 
--- a/packages/corianderlb-router/src/corianderlb_router/serving_state.py
+++ b/packages/corianderlb-router/src/corianderlb_router/serving_state.py
@@ -16,7 +16,7 @@
 
 from corianderlb_core.forwarding import ForwardConfiguration, ForwardInstance
 from corianderlb_core.message import SharedObject, WeightsVersionAge
-from corianderlb_core.named_versions import NamedVersions, Naming
+from corianderlb_core.published_versions import PublishedVersion, PublishedVersions
 
 from .object_feed import FeedChanges, FeedListing, StateDecoder
 
@@ -74,7 +74,7 @@
         self._instances: dict[str, ForwardInstance] = {}
         self._by_upstream: dict[str, list[ForwardInstance]] = {}
         self._leaving: dict[tuple[str, int], None] = {}
-        self._named: dict[str, NamedVersions] = {}
+        self._named: dict[str, PublishedVersions] = {}
         """By model."""
         self._newer_version_at: dict[str, float] = {}
         """By model: when this router learned of the newest version."""
@@ -390,8 +390,8 @@
         if at is None:
             at, is_exact = trio.current_time(), True
         after = self.newest_weights(decoded.model)
-        naming = Naming(decoded.version, at, after, is_exact)
-        self._record_naming(decoded.model, naming, "store")
+        published_version = PublishedVersion(decoded.version, at, after, is_exact)
+        self._record_publication(decoded.model, published_version, "store")
 
     def record_engine_weights(self, model: str, version: int) -> None:
         """Record a weights version reported by an engine.
@@ -402,45 +402,52 @@
         newest = self.newest_weights(model)
         if version > newest:
             at = self.tables[self.weights_kind].read_at
-            naming = Naming(version, at, newest, is_exact=False)
-            self._record_naming(model, naming, "engine")
+            published_version = PublishedVersion(version, at, newest, is_exact=False)
+            self._record_publication(model, published_version, "engine")
 
-    def merge_named_ages(
+    def merge_published_ages(
         self, ages: Iterable[WeightsVersionAge], queried_at: float
     ) -> None:
         """Merge a peer's answer on how long ago versions were published."""
         for age in ages:
-            naming = Naming(age.version, queried_at - age.age_ms / 1000, age.after)
-            self._record_naming(age.model, naming, "peer")
+            published_version = PublishedVersion(
+                age.version, queried_at - age.age_ms / 1000, age.after
+            )
+            self._record_publication(age.model, published_version, "peer")
 
-    def named_ages(self) -> tuple[WeightsVersionAge, ...]:
+    def published_ages(self) -> tuple[WeightsVersionAge, ...]:
         """Return the ages of recently published versions, for peers."""
         now = trio.current_time()
         return tuple(
             WeightsVersionAge(
-                model, naming.version, round((now - naming.at) * 1000), naming.after
+                model,
+                published_version.version,
+                round((now - published_version.at) * 1000),
+                published_version.after,
             )
             for model, named in self._named.items()
-            for naming in named.exact(now - NAMED_AGE_TTL_S)
+            for published_version in named.exact(now - NAMED_AGE_TTL_S)
         )
 
-    def _record_naming(self, model: str, naming: Naming, source: str) -> None:
-        named = self._named.setdefault(model, NamedVersions())
+    def _record_publication(
+        self, model: str, published_version: PublishedVersion, source: str
+    ) -> None:
+        named = self._named.setdefault(model, PublishedVersions())
         was_exact = named.is_newest_exact
-        is_newer = naming.version > named.newest
-        if not named.record_naming(naming):
+        is_newer = published_version.version > named.newest
+        if not named.record_publication(published_version):
             return
         if is_newer:
             self._newer_version_at[model] = trio.current_time()
         if is_newer or was_exact != named.is_newest_exact:
-            age_s = trio.current_time() - naming.at
+            age_s = trio.current_time() - published_version.at
             eliot.log_message(
                 message_type="weights:named",
                 model=model,
-                version=naming.version,
+                version=published_version.version,
                 source=source,
                 age_ms=round(age_s * 1000) if math.isfinite(age_s) else None,
-                exact=naming.is_exact,
+                exact=published_version.is_exact,
             )
 
     @property
--- a/packages/corianderlb-router/src/corianderlb_router/state_follower.py
+++ b/packages/corianderlb-router/src/corianderlb_router/state_follower.py
@@ -284,7 +284,7 @@
             self._peers.send(sender, req)
 
     def _answer(self, ask: int) -> StateAnswer:
-        ages = self._state.named_ages()
+        ages = self._state.published_ages()
         return StateAnswer(ask, self._revisions(), self._has_recent_read, ages)
 
     def _is_known(self, kind: str, revision: int) -> bool:
@@ -302,7 +302,7 @@
                 if self._is_known(kind, revision):
                     self._state.confirm(kind, queried_at)
         if not self._pauses.has_resumed_since(queried_at):
-            self._state.merge_named_ages(answer.named, queried_at)
+            self._state.merge_published_ages(answer.named, queried_at)
 
     async def on_state_request(self, sender: InstanceId, req: StateRequest) -> None:
         """Send the objects of the requested kinds.
--- a/packages/corianderlb-router/tests/forward_builders.py
+++ b/packages/corianderlb-router/tests/forward_builders.py
@@ -12,7 +12,7 @@
 import trio
 import trio.testing
 
-from corianderlb_core.arrival_budget import BudgetTerms
+from corianderlb_core.fleet_retry_budget import BudgetTerms
 from corianderlb_core.forwarding import (
     EngineTraits,
     ForwardAccount,
--- a/packages/corianderlb-router/tests/test_forward_run.py
+++ b/packages/corianderlb-router/tests/test_forward_run.py
@@ -8,7 +8,7 @@
 import eliot
 import trio
 
-from corianderlb_core.arrival_budget import BudgetTerms
+from corianderlb_core.fleet_retry_budget import BudgetTerms
 from corianderlb_core.forwarding import ForwardInstance
 from corianderlb_core.prefill_estimate import PeerWork
 from corianderlb_router.object_feed import FeedListing, NamedWeights
--- a/packages/corianderlb-router/tests/test_quarantine_age.py
+++ b/packages/corianderlb-router/tests/test_quarantine_age.py
@@ -5,7 +5,7 @@
 import trio
 
 from corianderlb_core.identity import InstanceId
-from corianderlb_core.quarantine import HOLD_S
+from corianderlb_core.quarantine import DEFAULT_QUARANTINE_S
 from corianderlb_router.fleet_quarantine import FleetQuarantine
 from corianderlb_standins.trio_case import TrioTestCase
 from test_peer_network import Fleet
@@ -46,7 +46,9 @@
 
     async def test_restart_late_in_the_quarantine(self) -> None:
         """Crash reports must be kept for the whole quarantine."""
-        self.assertEqual(await self.refused_after(HOLD_S, 300.0), (True, True))
+        self.assertEqual(
+            await self.refused_after(DEFAULT_QUARANTINE_S, 300.0), (True, True)
+        )
 
     async def test_restart_after_the_quarantine(self) -> None:
         """A restart must not extend a quarantine."""
--- a/packages/corianderlb-router/tests/test_weights_age.py
+++ b/packages/corianderlb-router/tests/test_weights_age.py
@@ -164,7 +164,7 @@
             self.name_weights(4)
             named_at = trio.current_time()
             await trio.sleep(0.005)
-            told = routers[0].state.named_ages()
+            told = routers[0].state.published_ages()
             self.assertEqual([word.version for word in told], [3, 4])
             self.clock.jump(2.0)
             answer = StateAnswer(1, (), named=told)
@@ -253,6 +253,6 @@
             await trio.sleep(2)
             n_before = self.hub.n_messages
             await trio.sleep(20)
-            self.assertEqual(len(routers[0].state.named_ages()), 1)
+            self.assertEqual(len(routers[0].state.published_ages()), 1)
             self.assertLess(self.hub.n_messages - n_before, 1.1 * n_usual)
             nursery.cancel_scope.cancel()
