--- a/packages/corianderlb-core/tests/test_weights_rollout.py
+++ b/packages/corianderlb-core/tests/test_weights_rollout.py
@@ -19,7 +19,7 @@
     defaults = {
         "is_loading": False,
         "loading_s": math.inf,
-        "ordered_s": math.inf,
+        "since_order_s": math.inf,
         "n_requests": 0,
     }
     return EngineWeights(name, version, **{**defaults, **fields})
